--- a/benches/limits.rs
+++ b/benches/limits.rs
@@ -96,14 +96,25 @@
 }
 
 fn settings() -> Settings {
-    let class = || Class { aim: 2_000_000, worth: 1.0, late_worth: 0.25, pools: None, repeatable: true };
+    let class = || Class {
+        latency_objective: 2_000_000,
+        priority_weight: 1.0,
+        late_weight_share: 0.25,
+        pools: None,
+        is_idempotent: true,
+    };
     Settings {
-        fronts: 1,
+        gatekeepers: 1,
         classes: vec![class(), class()],
         tick: 5_000,
         max_attempts: 4,
         may_cancel: true,
-        rules: Rules { drain_grace: 250_000, release_wait: 500_000, warm_up: 15_000_000, ..Rules::default() },
+        rules: Rules {
+            drain_grace: 250_000,
+            release_wait: 500_000,
+            warm_up_duration: 15_000_000,
+            ..Rules::default()
+        },
         ..Settings::default()
     }
 }
@@ -124,10 +135,14 @@
                     server: ServerId(s),
                     pool: PoolId(s.into()),
                     started_at: 0,
-                    status: Status::Up,
+                    status: ServerStatus::Up,
                 })
                 .collect();
-            gateway.handle(now, Input::List { told: now, scope: ListScope::Whole, entries }, &mut out);
+            gateway.handle(
+                now,
+                Input::List { told: now, scope: EndpointListScope::Complete, entries },
+                &mut out,
+            );
             let numbers = numbers();
             b.iter(|| {
                 n += 1;
--- a/src/bin/cobaltspool-benchlink/main.rs
+++ b/src/bin/cobaltspool-benchlink/main.rs
@@ -35,49 +35,49 @@
 fn settings(profile: &Profile) -> Settings {
     let pools = &profile.domain.allowed_pools;
     let class = |(n, s): (usize, &wire::Service)| Class {
-        aim: s.aim_us,
-        worth: s.worth,
-        late_worth: s.late_worth,
+        latency_objective: s.aim_us,
+        priority_weight: s.worth,
+        late_weight_share: s.late_worth,
         pools: pools.get(n).map(|p| p.iter().map(|n| PoolId(*n)).collect()),
-        repeatable: s.effect == "read_like" || s.effect.is_empty(),
+        is_idempotent: s.effect == "read_like" || s.effect.is_empty(),
     };
     let (limits, rules) = (&profile.ceilings, &profile.rules);
     Settings {
-        fronts: profile.peers_total,
-        own_number: profile.me,
+        gatekeepers: profile.peers_total,
+        own_index: profile.me,
         classes: profile.services.iter().enumerate().map(class).collect(),
-        resend_after: profile.domain.resend_us,
+        retransmit_after: profile.domain.resend_us,
         tick: profile.tick_us,
         max_attempts: limits.max_attempts,
-        second_copies: limits.second_copies,
+        may_hedge: limits.second_copies,
         may_cancel: limits.cancel,
-        may_probe: limits.probes,
+        may_check_health: limits.probes,
         may_message: limits.peers,
-        may_advise_retry: limits.retry_after,
+        may_send_retry_after: limits.retry_after,
         max_retry_after: limits.max_retry_after_us,
-        list_on_request: profile.discovery == "on_request",
+        polls_endpoint_list: profile.discovery == "on_request",
         rules: Rules {
             answer_slack: rules.answer_slack_us,
             drain_grace: rules.drain_grace_us,
             release_wait: profile.domain.clear_wait_us,
-            start_capacity: rules.start_capacity,
-            warm_up: rules.warm_up_us,
-            tip_multiple: rules.tip_multiple,
-            fall_time: rules.fall_us,
+            initial_capacity: rules.start_capacity,
+            warm_up_duration: rules.warm_up_us,
+            overload_multiple: rules.tip_multiple,
+            overload_window: rules.fall_us,
         },
     }
 }
 
 fn load(t: &Telemetry) -> LoadReport {
     LoadReport {
-        busy: t.cpu,
-        waiting: t.waiting,
-        in_work: t.active,
-        wait_ms: t.avg_ms,
-        allowed: t.allowed,
-        cut: t.cut_by,
+        utilization: t.cpu,
+        queued_setups: t.waiting,
+        messages_in_progress: t.active,
+        queue_wait_ms: t.avg_ms,
+        allowed_rate: t.allowed,
+        requested_reduction: t.cut_by,
         free_lines: t.spare,
-        lines: t.total,
+        total_lines: t.total,
     }
 }
 
@@ -85,24 +85,24 @@
     match ending {
         Ending::Success => Outcome::Completed,
         Ending::Failure => Outcome::Failed,
-        Ending::Overloaded => Outcome::Full,
+        Ending::Overloaded => Outcome::Rejected,
         Ending::TimedOut => Outcome::TimedOut,
         Ending::Unreachable => Outcome::Unreachable,
-        Ending::Broken => Outcome::Cut,
+        Ending::Broken => Outcome::Reset,
         Ending::Withdrawn => Outcome::Cancelled,
-        Ending::Void => Outcome::Void,
+        Ending::Void => Outcome::NotSent,
     }
 }
 
 /// Reads the wire's note: its low four bits say what happened, the rest is a wait in milliseconds.
 fn cause(note: i64) -> Cause {
     match note & 15 {
-        1 => Cause::NoLine,
-        2 if note != 18 => Cause::NoLine,
-        2 => Cause::ProcessorFull { wait: None },
-        3 => Cause::ProcessorFull { wait: (note >> 4 > 0).then_some((note >> 4) as u64 * 1000) },
+        1 => Cause::NoFreeLine,
+        2 if note != 18 => Cause::NoFreeLine,
+        2 => Cause::ProcessorOverloaded { retry_after: None },
+        3 => Cause::ProcessorOverloaded { retry_after: (note >> 4 > 0).then_some((note >> 4) as u64 * 1000) },
         4 => Cause::NumberBusy,
-        _ => Cause::Untold,
+        _ => Cause::Unspecified,
     }
 }
 
@@ -156,54 +156,56 @@
         };
         let host = self.fronts.get_mut(&front).ok_or_else(|| format!("unknown front {front}"))?;
         let event = match msg {
-            Msg::PeersKnown { scope: Scope::Unavailable, .. } => Event::ListUnavailable,
+            Msg::PeersKnown { scope: Scope::Unavailable, .. } => Event::EndpointListUnavailable,
             Msg::PeersKnown { scope, r#ref, .. } => {
                 let list = self.lists.get(&r#ref).ok_or_else(|| format!("unknown server list {}", r#ref))?;
                 let scope = match scope {
-                    Scope::Update => ListScope::Changes,
-                    Scope::Restored => ListScope::Restored,
-                    _ => ListScope::Whole,
+                    Scope::Update => EndpointListScope::Changes,
+                    Scope::Restored => EndpointListScope::Restored,
+                    _ => EndpointListScope::Complete,
                 };
                 let entry = |e: &Element| ServerEntry {
                     server: host.id(&e.server),
                     pool: PoolId(e.place_no),
                     started_at: e.started_at_us,
                     status: match e.availability {
-                        wire::Availability::Up => Status::Up,
-                        wire::Availability::Draining => Status::Draining,
-                        wire::Availability::Removed => Status::Removed,
+                        wire::Availability::Up => ServerStatus::Up,
+                        wire::Availability::Draining => ServerStatus::Draining,
+                        wire::Availability::Removed => ServerStatus::Removed,
                     },
                 };
-                Event::List { scope, entries: list.iter().map(entry).collect() }
+                Event::EndpointList { scope, entries: list.iter().map(entry).collect() }
+            }
+            Msg::Query { request_id, service, item, due_us, dest, repeat, passing, .. } => {
+                Event::Call(NewCall {
+                    call: CallId(request_id),
+                    class: service,
+                    number: Number(item),
+                    deadline: due_us.max(0) as u64,
+                    first_choice: PoolId(dest as i64),
+                    is_redial: repeat,
+                    in_transit: passing,
+                    max_attempts: u32::MAX,
+                })
             }
-            Msg::Query { request_id, service, item, due_us, dest, repeat, passing, .. } => Event::Call {
-                call: CallId(request_id),
-                class: service,
-                number: Number(item),
-                due: due_us.max(0) as u64,
-                first_choice: PoolId(dest as i64),
-                repeat,
-                in_transit: passing,
-                attempts: u32::MAX,
-            },
             Msg::Inbox { origin_peer, msg, .. } => Event::Message {
                 from: origin_peer,
                 bytes: BASE64.decode(&msg).map_err(|e| format!("inbox: bad base64: {e}"))?,
             },
             Msg::Aborted { request_id, .. } => Event::CallerGone { call: CallId(request_id) },
             Msg::Reply { request_id, copy, server, ending, took_us, ended, note, telemetry, .. } => {
-                Event::AttemptEnded {
+                Event::AttemptEnded(AttemptEnd {
                     call: CallId(request_id),
                     attempt: copy,
                     server: host.id(&server),
                     outcome: outcome(ending),
                     cause: cause(note),
-                    took: took_us,
-                    over: ended,
+                    elapsed: took_us,
+                    is_call_over: ended,
                     load: load(&telemetry),
-                    rest: 0,
-                    again: true,
-                }
+                    retry_delay: 0,
+                    may_retry: true,
+                })
             }
             Msg::PingResult { server, ending, telemetry, .. } => Event::Load {
                 server: host.id(&server),
@@ -213,11 +215,11 @@
             Msg::Reminder { key_back, .. } => Event::Timer {
                 key: key_back.parse().map_err(|_| format!("reminder: key {key_back:?} is not a timer's"))?,
             },
-            Msg::AckFirst { request_id, copy, server, took_us, .. } => Event::Stands {
+            Msg::AckFirst { request_id, copy, server, took_us, .. } => Event::Established {
                 call: CallId(request_id),
                 attempt: copy,
                 server: host.id(&server),
-                took: took_us,
+                elapsed: took_us,
             },
             Msg::Begin { .. } | Msg::Directory { .. } | Msg::Killed { .. } => return Ok(()),
         };
@@ -232,21 +234,21 @@
 fn act(front: u64, host: &Host, action: Action) -> Act {
     let name = |s: ServerId| host.names[s.0 as usize].clone();
     match action {
-        Action::Attempt { call, server, time_out } => {
+        Action::Attempt { call, server, timeout: time_out } => {
             Act::Dispatch { front, request_id: call.0, server: name(server), allow_for_us: time_out }
         }
         Action::Cancel { call, attempt } => Act::StopAttempt { front, request_id: call.0, copy: attempt },
-        Action::Refuse { call, retry_after } => {
+        Action::Reject { call, retry_after } => {
             Act::Shed { front, request_id: call.0, retry_in_us: retry_after }
         }
         Action::Fail { call } => Act::Fail { front, request_id: call.0 },
-        Action::Probe { server } => Act::AskLoad { front, server: name(server) },
+        Action::CheckHealth { server } => Act::AskLoad { front, server: name(server) },
         Action::CloseIdle { server } => Act::HangUp { front, server: name(server) },
-        Action::Tell { to, bytes } => {
+        Action::SendMessage { to, bytes } => {
             Act::MemoTo { front, dst: to.map_or(-1, i64::from), msg: BASE64.encode(bytes) }
         }
-        Action::WatchList { on } => Act::Watch { front, on },
-        Action::FetchList => Act::Pull { front },
+        Action::WatchEndpointList { enabled } => Act::Watch { front, on: enabled },
+        Action::PollEndpointList => Act::Pull { front },
         Action::SetTimer { delay, key } => {
             Act::SetTimer { front, delay_us: delay, key_back: key.to_string() }
         }
--- a/src/config.rs
+++ b/src/config.rs
@@ -7,7 +7,7 @@
 
 use crate::limits::Ceilings;
 use crate::list::Listed;
-use crate::{Class, ListScope, Micros, PoolId, Rules, Settings, Status};
+use crate::{Class, EndpointListScope, Micros, PoolId, Rules, ServerStatus, Settings};
 
 /// What a gatekeeper is told at its start.
 #[derive(Clone, Debug)]
@@ -25,7 +25,7 @@
     /// The number of the list's last event.
     pub seq: u32,
     /// The list's events up to that one.
-    pub known: Vec<(ListScope, Vec<Listed>)>,
+    pub known: Vec<(EndpointListScope, Vec<Listed>)>,
     /// The module's settings.
     pub settings: Settings,
     /// Names of the classes, by their place in the settings.
@@ -213,36 +213,36 @@
         let service = Object::of(service, "a service")?;
         let effect = service.0.get("effect").and_then(|e| e.get::<String>());
         classes.push(Class {
-            aim: service.count("aim-us")?,
-            worth: service.number("worth")?,
-            late_worth: service.number("late-worth")?,
+            latency_objective: service.count("aim-us")?,
+            priority_weight: service.number("worth")?,
+            late_weight_share: service.number("late-worth")?,
             pools: pools.get(n).map(pool_list).transpose()?,
-            repeatable: effect.is_none_or(|e| e == "read_like"),
+            is_idempotent: effect.is_none_or(|e| e == "read_like"),
         });
     }
     let discovery = settings.0.get("discovery").and_then(|d| d.get::<String>());
     Ok(Settings {
-        fronts: settings.count("peers-total")? as u32,
-        own_number: settings.count("me")? as u32,
+        gatekeepers: settings.count("peers-total")? as u32,
+        own_index: settings.count("me")? as u32,
         classes,
-        resend_after: domain.count("resend-us")?,
+        retransmit_after: domain.count("resend-us")?,
         tick: settings.count("tick-us")?,
         max_attempts: limits.count("max-attempts")? as u32,
-        second_copies: limits.flag("second-copies"),
+        may_hedge: limits.flag("second-copies"),
         may_cancel: limits.flag("cancel"),
-        may_probe: limits.flag("probes"),
+        may_check_health: limits.flag("probes"),
         may_message: limits.flag("peers"),
-        may_advise_retry: limits.flag("retry-after"),
+        may_send_retry_after: limits.flag("retry-after"),
         max_retry_after: limits.count("max-retry-after-us")?,
-        list_on_request: discovery.is_some_and(|d| d == "on_request"),
+        polls_endpoint_list: discovery.is_some_and(|d| d == "on_request"),
         rules: Rules {
             answer_slack: figures.count("answer-slack-us")?,
             drain_grace: figures.count("drain-grace-us")?,
             release_wait: domain.count("clear-wait-us")?,
-            start_capacity: figures.number("start-capacity")?,
-            warm_up: figures.count("warm-up-us")?,
-            tip_multiple: figures.number("tip-multiple")?,
-            fall_time: figures.count("fall-us")?,
+            initial_capacity: figures.number("start-capacity")?,
+            warm_up_duration: figures.count("warm-up-us")?,
+            overload_multiple: figures.number("tip-multiple")?,
+            overload_window: figures.count("fall-us")?,
         },
     })
 }
@@ -255,14 +255,14 @@
 
 /// The events that the list has gone through: the first is the whole list, later ones changed lines, unless
 /// they say that they start anew.
-fn events(known: &Object) -> Result<Vec<(ListScope, Vec<Listed>)>, String> {
+fn events(known: &Object) -> Result<Vec<(EndpointListScope, Vec<Listed>)>, String> {
     let mut events = Vec::new();
     for (n, event) in known.list("results")?.iter().enumerate() {
         let fleet = Object::of(event, "an event")?.object("fleet")?;
         let scope = match (n, fleet.flag("reset")) {
-            (0, _) => ListScope::Restored,
-            (_, true) => ListScope::Whole,
-            _ => ListScope::Changes,
+            (0, _) => EndpointListScope::Restored,
+            (_, true) => EndpointListScope::Complete,
+            _ => EndpointListScope::Changes,
         };
         let lines = fleet.list("instances")?.iter().map(listed).collect::<Result<_, String>>()?;
         events.push((scope, lines));
@@ -273,9 +273,9 @@
 fn listed(line: &JsonValue) -> Result<Listed, String> {
     let line = Object::of(line, "a server")?;
     let status = match line.text("lifecycle")? {
-        "in_service" => Status::Up,
-        "terminating" => Status::Draining,
-        "terminated" => Status::Removed,
+        "in_service" => ServerStatus::Up,
+        "terminating" => ServerStatus::Draining,
+        "terminated" => ServerStatus::Removed,
         other => return Err(format!("'lifecycle' is '{other}'")),
     };
     // A machine that is gone need not have an address any more.
@@ -283,7 +283,7 @@
     let address = line.address("hostPort");
     Ok(Listed {
         id: line.text("instanceId")?.into(),
-        address: if status == Status::Removed { address.unwrap_or(nowhere) } else { address? },
+        address: if status == ServerStatus::Removed { address.unwrap_or(nowhere) } else { address? },
         pool: PoolId(line.number("cell")? as i64),
         started_at: line.count("startedAtMs")?.saturating_mul(1000),
         status,
--- a/src/gateway/admit.rs
+++ b/src/gateway/admit.rs
@@ -83,7 +83,7 @@
                 Some(State::Stands(at)) => {
                     let attempt = AttemptId { call, number: at.number };
                     out.push(Command::Release { attempt, server: at.server });
-                    out.push(Command::Over { call, outcome: Outcome::Cut });
+                    out.push(Command::Over { call, outcome: Outcome::Reset });
                 }
                 None => {}
             }
--- a/src/gateway/intake.rs
+++ b/src/gateway/intake.rs
@@ -4,7 +4,7 @@
 use super::tally::End;
 use super::{AttemptId, Command, Gateway, SetUp};
 use crate::limits::Asked;
-use crate::{CallId, Event, Outcome};
+use crate::{CallId, Event, NewCall, Outcome};
 
 impl Gateway {
     pub(super) fn take_in(&mut self, set_up: SetUp, out: &mut Vec<Command>) {
@@ -33,21 +33,21 @@
                 // A limit of the operators' is met: the module need not be asked, and nothing has run.
                 let (level, cap) = (refusal.level, refusal.cap);
                 out.push(Command::Note(format!("intake: call {} turned away: {cap} of {level}", call.0)));
-                return self.refuse(call, if self.set.may_advise_retry { refusal.wait } else { 0 }, out);
+                return self.refuse(call, if self.set.may_send_retry_after { refusal.wait } else { 0 }, out);
             }
         };
         let attempts = held.limits.attempts.value;
         self.book.hold(call, held);
-        self.news.push_back(Event::Call {
+        self.news.push_back(Event::Call(NewCall {
             call,
             class,
             number,
-            due,
+            deadline: due,
             first_choice,
-            repeat: again,
+            is_redial: again,
             in_transit: false,
-            attempts,
-        });
+            max_attempts: attempts,
+        }));
     }
 
     /// The caller waits no longer: no answer is owed, and what is out is called off.
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -25,7 +25,7 @@
 
 use crate::limits::{Live, Plan};
 use crate::{Action, CallId, Cause, Controller, Event, LoadReport, Micros, Number, Outcome, PoolId};
-use crate::{ListScope, ServerEntry, ServerId, Settings};
+use crate::{EndpointListScope, ServerEntry, ServerId, Settings};
 
 /// One attempt to set a call up; the numbers of a call's attempts start from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -100,7 +100,7 @@
         /// From when on it may count as told; the drain window begins here.
         told: Micros,
         /// What the list holds.
-        scope: ListScope,
+        scope: EndpointListScope,
         /// Its lines.
         entries: Vec<ServerEntry>,
     },
@@ -260,7 +260,7 @@
             }
             Input::List { told, scope, entries } => {
                 self.route.learn(told.min(self.now), scope, &entries);
-                self.news.push_back(Event::List { scope, entries });
+                self.news.push_back(Event::EndpointList { scope, entries });
             }
             Input::Lost { server, at } => self.lost(server, at, out),
             Input::Unheard { server, since } => self.unheard(server, since, out),
@@ -326,7 +326,7 @@
     /// did not answer and only trial calls go there.
     pub fn servers(&self) -> (usize, usize) {
         let listed: Vec<(ServerId, bool)> = self.route.listed().collect();
-        let shut = |server| self.module.gauge(server).is_some_and(|g| !g.u || g.silent);
+        let shut = |server| self.module.gauge(server).is_some_and(|g| !g.is_open || g.is_ejected);
         let avoided = listed.iter().filter(|(server, up)| !up || shut(*server)).count();
         (listed.len(), avoided)
     }
@@ -339,18 +339,18 @@
     /// What is known of a server for another process of this gatekeeper: whether it is silent, when it last told which
     /// wait in milliseconds, and since when it drains.
     pub fn known_of(&self, server: ServerId) -> (bool, Option<(Micros, f64)>, Option<Micros>) {
-        let silent = self.module.gauge(server).is_some_and(|g| g.silent);
+        let silent = self.module.gauge(server).is_some_and(|g| g.is_ejected);
         (silent, self.route.report(server), self.route.drains_since(server))
     }
 
     /// So many gatekeepers share the servers from now on.
     pub fn shared_by(&mut self, gatekeepers: u32) {
-        self.module.shared_by(gatekeepers);
+        self.module.set_gatekeepers(gatekeepers);
     }
 
     /// How many gatekeepers share the servers by the configuration.
     pub fn configured(&self) -> u32 {
-        self.set.fronts
+        self.set.gatekeepers
     }
 
     /// Another process of this gatekeeper takes calls too, or does no longer.
@@ -365,18 +365,22 @@
             self.module.handle(self.now, event, &mut actions);
             for action in actions.drain(..) {
                 match action {
-                    Action::Attempt { call, server, time_out } => self.attempt(call, server, time_out, out),
+                    Action::Attempt { call, server, timeout: time_out } => {
+                        self.attempt(call, server, time_out, out)
+                    }
                     Action::Cancel { call, attempt } => self.cancel(call, attempt, out),
-                    Action::Refuse { call, retry_after } => self.refuse(call, retry_after, out),
+                    Action::Reject { call, retry_after } => self.refuse(call, retry_after, out),
                     Action::Fail { call } => self.fail(call, out),
-                    Action::Probe { server } => out.push(Command::Probe(server)),
+                    Action::CheckHealth { server } => out.push(Command::Probe(server)),
                     Action::CloseIdle { server } => out.push(Command::CloseIdle(server)),
                     Action::SetTimer { delay, key } => {
                         self.timers.insert((self.now + delay, key));
                     }
                     Action::Log { text } => out.push(Command::Note(text)),
                     // The list comes unasked and there are no messages between gatekeepers here.
-                    Action::Tell { .. } | Action::WatchList { .. } | Action::FetchList => {}
+                    Action::SendMessage { .. }
+                    | Action::WatchEndpointList { .. }
+                    | Action::PollEndpointList => {}
                 }
             }
             self.actions = actions;
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -27,7 +27,12 @@
         if self.book.answer(call) {
             out.push(Command::Answer { call, description });
             let took = self.now.saturating_sub(at.sent);
-            self.news.push_back(Event::Stands { call, attempt: at.number, server: at.server, took });
+            self.news.push_back(Event::Established {
+                call,
+                attempt: at.number,
+                server: at.server,
+                elapsed: took,
+            });
         }
     }
 
@@ -49,11 +54,11 @@
             return self.tell_end_with(call, at, outcome, true, cause, load);
         }
         // An 'ended well' for what never stood is a server's slip; it may have run, so the wait applies.
-        let outcome = if outcome == Outcome::Completed { Outcome::Cut } else { outcome };
+        let outcome = if outcome == Outcome::Completed { Outcome::Reset } else { outcome };
         let wait = self.now + self.set.rules.release_wait;
         if let Some((entry, _)) = self.book.open_mut(call) {
             entry.state = State::Open(None);
-            if matches!(outcome, Outcome::TimedOut | Outcome::Cut | Outcome::Cancelled) {
+            if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
                 entry.wait_until = wait;
             }
         }
@@ -64,7 +69,7 @@
     pub(super) fn lost(&mut self, server: ServerId, ended_at: Micros, out: &mut Vec<Command>) {
         for (call, at) in self.book.at_server(server).into_iter().filter(|(_, at)| at.sent <= ended_at) {
             let attempt = AttemptId { call, number: at.number };
-            self.ended(attempt, Outcome::Cut, Cause::Untold, LoadReport::default(), out);
+            self.ended(attempt, Outcome::Reset, Cause::Unspecified, LoadReport::default(), out);
         }
     }
 
@@ -77,8 +82,8 @@
             }
             self.book.close(call, self.now + self.set.rules.release_wait, End::Over);
             out.push(Command::Release { attempt: AttemptId { call, number: at.number }, server });
-            out.push(Command::Over { call, outcome: Outcome::Cut });
-            self.tell_end(call, at, Outcome::Cut, true);
+            out.push(Command::Over { call, outcome: Outcome::Reset });
+            self.tell_end(call, at, Outcome::Reset, true);
         }
     }
 }
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -3,7 +3,7 @@
 use super::book::Out;
 use super::{AttemptId, Command, Gateway};
 use crate::limits::Verdict;
-use crate::{CallId, Cause, Event, LoadReport, Micros, Outcome, ServerId};
+use crate::{AttemptEnd, CallId, Cause, Event, LoadReport, Micros, Outcome, ServerId};
 
 impl Gateway {
     pub(super) fn attempt(
@@ -38,7 +38,7 @@
             out.push(Command::Warn(text));
             if held.is_none() {
                 let at = Out { number, server, sent: now, until: now };
-                self.tell_end(call, at, Outcome::Void, false);
+                self.tell_end(call, at, Outcome::NotSent, false);
             }
             return;
         }
@@ -74,7 +74,7 @@
 
     /// Tells the module how an attempt ended that no server has spoken of.
     pub(super) fn tell_end(&mut self, call: CallId, at: Out, outcome: Outcome, over: bool) {
-        self.tell_end_with(call, at, outcome, over, Cause::Untold, LoadReport::default());
+        self.tell_end_with(call, at, outcome, over, Cause::Unspecified, LoadReport::default());
     }
 
     pub(super) fn tell_end_with(
@@ -94,17 +94,17 @@
             }
             entry.wait_until = entry.wait_until.max(now.saturating_add(verdict.rest));
         }
-        self.news.push_back(Event::AttemptEnded {
+        self.news.push_back(Event::AttemptEnded(AttemptEnd {
             call,
             attempt: at.number,
             server: at.server,
             outcome,
             cause,
-            took: self.now.saturating_sub(at.sent),
-            over,
+            elapsed: self.now.saturating_sub(at.sent),
+            is_call_over: over,
             load,
-            rest: verdict.rest,
-            again: verdict.again,
-        });
+            retry_delay: verdict.rest,
+            may_retry: verdict.again,
+        }));
     }
 }
--- a/src/gateway/tests.rs
+++ b/src/gateway/tests.rs
@@ -5,7 +5,7 @@
 
 use super::book::Out;
 use super::*;
-use crate::{Class, Rules, Status};
+use crate::{Class, Rules, ServerStatus};
 
 const MS: Micros = 1_000;
 const CALL: CallId = CallId(1);
@@ -30,8 +30,8 @@
         std::mem::take(&mut self.out)
     }
 
-    fn list(&mut self, scope: ListScope, lines: &[(u32, Status)]) -> Vec<Command> {
-        let line = |(server, status): &(u32, Status)| ServerEntry {
+    fn list(&mut self, scope: EndpointListScope, lines: &[(u32, ServerStatus)]) -> Vec<Command> {
+        let line = |(server, status): &(u32, ServerStatus)| ServerEntry {
             server: ServerId(*server),
             pool: PoolId((*server).into()),
             started_at: 0,
@@ -56,7 +56,7 @@
     }
 
     fn end(&mut self, outcome: Outcome) -> Vec<Command> {
-        let (cause, load) = (Cause::Untold, LoadReport::default());
+        let (cause, load) = (Cause::Unspecified, LoadReport::default());
         self.see(Input::Ended { attempt: ATTEMPT, outcome, cause, load })
     }
 }
@@ -64,12 +64,19 @@
 /// Two servers, and a call that is out at the first.
 #[fixture]
 fn bench() -> Bench {
-    let class = Class { aim: 2_000 * MS, worth: 1.0, late_worth: 0.25, pools: None, repeatable: true };
+    let class = Class {
+        latency_objective: 2_000 * MS,
+        priority_weight: 1.0,
+        late_weight_share: 0.25,
+        pools: None,
+        is_idempotent: true,
+    };
     let rules = Rules { drain_grace: 250 * MS, release_wait: 500 * MS, ..Rules::default() };
     let classes = vec![class];
-    let set = Settings { fronts: 1, classes, tick: 5 * MS, max_attempts: 4, rules, ..Settings::default() };
+    let set =
+        Settings { gatekeepers: 1, classes, tick: 5 * MS, max_attempts: 4, rules, ..Settings::default() };
     let mut bench = Bench { gateway: Gateway::new(set, 7), now: 1_000_000 * MS, out: Vec::new() };
-    bench.list(ListScope::Whole, &[(0, Status::Up), (1, Status::Up)]);
+    bench.list(EndpointListScope::Complete, &[(0, ServerStatus::Up), (1, ServerStatus::Up)]);
     let sent = bench.set_up(CALL, "one");
     assert!(matches!(sent[..], [Command::Send { attempt: ATTEMPT, server: ServerId(0), .. }]), "{sent:?}");
     bench
@@ -86,17 +93,17 @@
 
 #[rstest]
 fn nothing_to_a_draining_server_once_the_window_has_passed(mut bench: Bench) {
-    bench.end(Outcome::Full);
-    bench.list(ListScope::Changes, &[(1, Status::Draining)]);
+    bench.end(Outcome::Rejected);
+    bench.list(EndpointListScope::Changes, &[(1, ServerStatus::Draining)]);
     bench.now += 100 * MS;
-    bench.list(ListScope::Changes, &[(1, Status::Removed)]);
+    bench.list(EndpointListScope::Changes, &[(1, ServerStatus::Removed)]);
     bench.now += 150 * MS;
     assert!(only_a_warning(&bench.force(1)), "the removal did not start the window again");
     assert!(only_a_warning(&bench.force(7)), "nothing to a server that was never listed");
 }
 
 #[rstest]
-#[case::cut(Outcome::Cut)]
+#[case::cut(Outcome::Reset)]
 #[case::timed_out(Outcome::TimedOut)]
 #[case::cancelled(Outcome::Cancelled)]
 fn nothing_before_the_release_wait_is_over(mut bench: Bench, #[case] outcome: Outcome) {
@@ -161,7 +168,7 @@
     bench.see(Input::Stands { attempt: ATTEMPT, description: Bytes::new() });
     let at = bench.now;
     assert_eq!(bench.see(Input::Lost { server: ServerId(0), at: at - 1 }), []);
-    let cut = [Command::Over { call: CALL, outcome: Outcome::Cut }];
+    let cut = [Command::Over { call: CALL, outcome: Outcome::Reset }];
     assert_eq!(bench.see(Input::Lost { server: ServerId(0), at }), cut);
     assert_eq!(bench.gateway.standing_calls(), 0);
 }
@@ -194,10 +201,10 @@
     let outcome = prop_oneof![
         Just(Outcome::Completed),
         Just(Outcome::Failed),
-        Just(Outcome::Full),
-        Just(Outcome::Cut),
+        Just(Outcome::Rejected),
+        Just(Outcome::Reset),
         Just(Outcome::Unreachable),
-        Just(Outcome::Void),
+        Just(Outcome::NotSent),
     ];
     prop_oneof![
         4 => (1..3_000u64, 0..3usize).prop_map(|(ms, class)| Happens::SetUp { left: ms * MS, class }),
@@ -216,18 +223,18 @@
     /// said, and nothing falls.
     #[test]
     fn each_call_is_counted_once(schedule in proptest::collection::vec(happens(), 1..120)) {
-        let class = Class { aim: 2_000 * MS, worth: 1.0, late_worth: 0.25, pools: None, repeatable: true };
+        let class = Class { latency_objective: 2_000 * MS, priority_weight: 1.0, late_weight_share: 0.25, pools: None, is_idempotent: true };
         let rules = Rules { drain_grace: 250 * MS, release_wait: 500 * MS, ..Rules::default() };
         let classes = vec![class.clone(), class];
-        let set = Settings { fronts: 1, classes, tick: 5 * MS, max_attempts: 4, rules, ..Settings::default() };
+        let set = Settings { gatekeepers: 1, classes, tick: 5 * MS, max_attempts: 4, rules, ..Settings::default() };
         let mut bench = Bench { gateway: Gateway::new(set, 7), now: 1_000_000 * MS, out: Vec::new() };
-        bench.list(ListScope::Whole, &[(0, Status::Up), (1, Status::Up)]);
+        bench.list(EndpointListScope::Complete, &[(0, ServerStatus::Up), (1, ServerStatus::Up)]);
         let (mut last, mut taken, mut unknown) = (vec![Counts::default(); 2], 0u64, 0u64);
         // What went out: the latest attempt of each call, and the answers.
         let mut attempts = std::collections::HashMap::new();
         let (mut answers, mut refusals, mut failures) = (0u64, 0u64, 0u64);
         for step in schedule.into_iter().map(Some).chain([None]) {
-            let (cause, load) = (Cause::Untold, LoadReport::default());
+            let (cause, load) = (Cause::Unspecified, LoadReport::default());
             let attempt = |call: u64| attempts.get(&CallId(call)).copied();
             let since = bench.now;
             let input = match step {
--- a/src/limits/live.rs
+++ b/src/limits/live.rs
@@ -380,7 +380,7 @@
         self.now = self.now.max(now);
         let now = self.now;
         held.unreserve();
-        if outcome == Outcome::Void {
+        if outcome == Outcome::NotSent {
             return Verdict { rest: 0, again: true }; // it never left: nothing was repeated
         }
         let mut rest = held.limits.pause(outcome);
--- a/src/limits/live/tests.rs
+++ b/src/limits/live/tests.rs
@@ -68,7 +68,7 @@
         let held = live.take(now, call("1")).unwrap();
         fresh += 1;
         held.sent(now, 0);
-        if live.after(now, &held, Outcome::Full, 1).again {
+        if live.after(now, &held, Outcome::Rejected, 1).again {
             held.sent(now, 1);
             repeats += 1;
         } else {
@@ -83,20 +83,20 @@
 fn a_repeat_that_never_goes_out_gives_its_place_back() {
     let mut live = live("{default: {retry_budget: {share: '0.1%', window: '10s', least: 1}}}");
     let first = live.take(SEC, call("1")).unwrap();
-    assert!(live.after(SEC, &first, Outcome::Full, 1).again);
+    assert!(live.after(SEC, &first, Outcome::Rejected, 1).again);
     let second = live.take(SEC, call("1")).unwrap();
-    assert!(!live.after(SEC, &second, Outcome::Full, 1).again, "the only place is taken");
+    assert!(!live.after(SEC, &second, Outcome::Rejected, 1).again, "the only place is taken");
     drop(first);
-    assert!(live.after(SEC, &second, Outcome::Full, 1).again);
+    assert!(live.after(SEC, &second, Outcome::Rejected, 1).again);
 }
 
 #[rstest]
 #[case::timed_out(Outcome::TimedOut, 700 * MS)]
-#[case::reset(Outcome::Cut, 500 * MS)]
+#[case::reset(Outcome::Reset, 500 * MS)]
 #[case::cancelled(Outcome::Cancelled, 500 * MS)]
-#[case::full(Outcome::Full, 50 * MS)]
+#[case::full(Outcome::Rejected, 50 * MS)]
 #[case::unreachable(Outcome::Unreachable, 0)]
-#[case::never_sent(Outcome::Void, 0)]
+#[case::never_sent(Outcome::NotSent, 0)]
 fn pauses_go_by_how_the_attempt_ended(#[case] outcome: Outcome, #[case] pause: Micros) {
     let mut live = live("{default: {pause: {timed_out: '700ms', full: '50ms'}}}");
     let held = live.take(0, call("1")).unwrap();
@@ -108,11 +108,12 @@
     let mut live = live("{default: {back_off: {first: '100ms', most: '300ms', factor: 2, jitter: '50%'}}}");
     let held = live.take(0, call("1")).unwrap();
     for (tries, most) in [(1, 100 * MS), (2, 200 * MS), (3, 300 * MS)] {
-        let rests: Vec<Micros> = (0..50).map(|_| live.after(0, &held, Outcome::Full, tries).rest).collect();
+        let rests: Vec<Micros> =
+            (0..50).map(|_| live.after(0, &held, Outcome::Rejected, tries).rest).collect();
         assert!(rests.iter().all(|r| (most / 2..=most).contains(r)), "{rests:?}");
         assert!(rests.iter().min() < rests.iter().max(), "drawn anew");
     }
-    assert!(!live.after(0, &held, Outcome::Full, 4).again, "four tries are the most");
+    assert!(!live.after(0, &held, Outcome::Rejected, 4).again, "four tries are the most");
 }
 
 #[test]
@@ -128,7 +129,7 @@
     let mut live = live("{routes: [{name: 'a', match: {}, limits: {open_calls: 5, attempts: 4}}]}");
     let mut held: Vec<Held> = (0..4).map(|_| live.take(0, call("1")).unwrap()).collect();
     live.replace(SEC, plan("{routes: [{name: 'a', match: {}, limits: {open_calls: 2, attempts: 1}}]}"));
-    assert!(live.after(SEC, &held[0], Outcome::Full, 1).again, "it came in with four attempts");
+    assert!(live.after(SEC, &held[0], Outcome::Rejected, 1).again, "it came in with four attempts");
     for left in [3, 2] {
         assert!(live.take(SEC, call("1")).is_err());
         held.pop();
@@ -137,7 +138,7 @@
     assert!(live.take(SEC, call("1")).is_err());
     held.pop();
     let late = live.take(SEC, call("1")).unwrap();
-    assert!(!live.after(SEC, &late, Outcome::Full, 1).again, "it came in with one");
+    assert!(!live.after(SEC, &late, Outcome::Rejected, 1).again, "it came in with one");
 }
 
 #[test]
@@ -157,14 +158,14 @@
     let now = 1_000 * SEC;
     let held = live.take(now, call("1")).unwrap();
     held.sent(now, 0);
-    assert!(live.after(now, &held, Outcome::Full, 1).again);
+    assert!(live.after(now, &held, Outcome::Rejected, 1).again);
     held.sent(now, 1);
     assert!(live.take(now - 900 * SEC, call("1")).is_ok());
     assert!(live.take(now - 800 * SEC, call("1")).is_err(), "time that went back gives no tokens");
     let ahead = now + 1_000_000 * SEC;
     let taken = (0..5).filter_map(|_| live.take(ahead, call("1")).ok()).count();
     assert_eq!(taken, 2);
-    assert!(live.after(ahead, &held, Outcome::Full, 2).again, "what was repeated is long ago");
+    assert!(live.after(ahead, &held, Outcome::Rejected, 2).again, "what was repeated is long ago");
 }
 
 #[derive(Clone, Debug)]
@@ -227,7 +228,7 @@
                 Do::Fail(n, how) if !held.is_empty() => {
                     let n = n % held.len();
                     let outcomes =
-                        [Outcome::TimedOut, Outcome::Cut, Outcome::Cancelled, Outcome::Full, Outcome::Failed];
+                        [Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled, Outcome::Rejected, Outcome::Failed];
                     let outcome = outcomes[how as usize];
                     let (_, call, tries) = &mut held[n];
                     let verdict = live.after(now, call, outcome, *tries);
--- a/src/limits/plan.rs
+++ b/src/limits/plan.rs
@@ -53,14 +53,14 @@
         let info = |((class, name), patience): ((&crate::Class, &String), &Micros)| ClassInfo {
             name: name.clone(),
             patience: *patience,
-            repeatable: class.repeatable,
+            repeatable: class.is_idempotent,
             pools: class.pools.as_ref().map(|p| p.iter().map(|p| p.0).collect()),
         };
         Ceilings {
             attempts: set.max_attempts,
             release_wait: set.rules.release_wait,
-            second_copies: Some(set.second_copies),
-            come_back: if set.may_advise_retry { set.max_retry_after } else { 0 },
+            second_copies: Some(set.may_hedge),
+            come_back: if set.may_send_retry_after { set.max_retry_after } else { 0 },
             classes: Some(set.classes.iter().zip(names).zip(patience).map(info).collect()),
             hex_numbers,
         }
@@ -160,10 +160,10 @@
     pub fn pause(&self, outcome: Outcome) -> Micros {
         match outcome {
             Outcome::TimedOut => self.timed_out.value,
-            Outcome::Cut => self.reset.value,
+            Outcome::Reset => self.reset.value,
             Outcome::Cancelled => self.cancelled.value,
-            Outcome::Full => self.full.value,
-            Outcome::Completed | Outcome::Failed | Outcome::Unreachable | Outcome::Void => 0,
+            Outcome::Rejected => self.full.value,
+            Outcome::Completed | Outcome::Failed | Outcome::Unreachable | Outcome::NotSent => 0,
         }
     }
 
--- a/src/list/directory.rs
+++ b/src/list/directory.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use crate::{ListScope, Micros, ServerEntry, ServerId, Status};
+use crate::{EndpointListScope, Micros, ServerEntry, ServerId, ServerStatus};
 
 use super::Listed;
 
@@ -29,7 +29,7 @@
 
 impl Directory {
     /// Takes a list: whole, or only lines that changed. Returns the core's entries and what changed.
-    pub fn learn(&mut self, scope: ListScope, list: Vec<Listed>) -> (Vec<ServerEntry>, Changes) {
+    pub fn learn(&mut self, scope: EndpointListScope, list: Vec<Listed>) -> (Vec<ServerEntry>, Changes) {
         let mut changes = Changes::default();
         let mut entries = Vec::with_capacity(list.len());
         let mut seen = Vec::with_capacity(list.len());
@@ -42,12 +42,12 @@
                 started_at: line.started_at,
                 status: line.status,
             });
-            if line.status == Status::Removed {
+            if line.status == ServerStatus::Removed {
                 continue;
             }
             seen.push(server);
             let was = self.listed.insert(server, line.clone());
-            if line.status != Status::Up && was.as_ref().is_none_or(|w| w.status == Status::Up) {
+            if line.status != ServerStatus::Up && was.as_ref().is_none_or(|w| w.status == ServerStatus::Up) {
                 changes.closed.push(server);
             }
             if was.is_some_and(|w| line.started_at > w.started_at) {
@@ -55,7 +55,7 @@
             }
         }
         let named: Vec<ServerId> = entries.iter().map(|e| e.server).collect();
-        let whole = scope != ListScope::Changes;
+        let whole = scope != EndpointListScope::Changes;
         let out = |id: &ServerId| !seen.contains(id) && (whole || named.contains(id));
         let gone: Vec<ServerId> = self.listed.keys().copied().filter(out).collect();
         for id in &gone {
@@ -83,7 +83,7 @@
 
     /// Whether a server takes calls.
     pub fn up(&self, server: ServerId) -> bool {
-        self.listed.get(&server).is_some_and(|l| l.status == Status::Up)
+        self.listed.get(&server).is_some_and(|l| l.status == ServerStatus::Up)
     }
 
     /// A server's id, for the log.
--- a/src/list/dns.rs
+++ b/src/list/dns.rs
@@ -9,7 +9,7 @@
 use hickory_proto::rr::rdata::TXT;
 use hickory_proto::rr::{Name, RData, RecordType};
 
-use crate::{PoolId, Status};
+use crate::{PoolId, ServerStatus};
 
 use super::Listed;
 
@@ -110,7 +110,7 @@
                 address: SocketAddr::new(*ip, service.port),
                 pool: PoolId(figure("cell").unwrap_or(0)),
                 started_at: (figure("started").unwrap_or(0).max(0) as u64).saturating_mul(1000),
-                status: if service.draining { Status::Draining } else { Status::Up },
+                status: if service.draining { ServerStatus::Draining } else { ServerStatus::Up },
             });
         }
         list
--- a/src/list/mod.rs
+++ b/src/list/mod.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use crate::{Micros, PoolId, Status};
+use crate::{Micros, PoolId, ServerStatus};
 
 pub use directory::Directory;
 
@@ -24,5 +24,5 @@
     /// When its process last started, in Unix microseconds; 0: long ago.
     pub started_at: Micros,
     /// Whether it takes calls.
-    pub status: Status,
+    pub status: ServerStatus,
 }
--- a/src/operate/handover.rs
+++ b/src/operate/handover.rs
@@ -52,7 +52,7 @@
             return Some((false, LoadReport::default()));
         }
         let (age, wait) = self.report?;
-        let load = LoadReport { wait_ms: Some(wait), ..LoadReport::default() };
+        let load = LoadReport { queue_wait_ms: Some(wait), ..LoadReport::default() };
         (age <= REPORT_OLD && wait.is_finite() && wait >= 0.0).then_some((true, load))
     }
 }
@@ -218,7 +218,7 @@
     #[case::unheard(known(None, false, None), None)]
     fn a_report_counts_while_it_is_fresh(#[case] word: Word, #[case] wanted: Option<(bool, Option<f64>)>) {
         let Word::Server(known) = word else { unreachable!() };
-        assert_eq!(known.news().map(|(answered, load)| (answered, load.wait_ms)), wanted);
+        assert_eq!(known.news().map(|(answered, load)| (answered, load.queue_wait_ms)), wanted);
     }
 
     proptest! {
--- a/src/platform/line.rs
+++ b/src/platform/line.rs
@@ -173,13 +173,13 @@
             let figure = value.parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0);
             let place = match key {
                 "x0" | "spare" => &mut load.free_lines,
-                "x1" | "total" => &mut load.lines,
-                "latency_ms" | "avg_ms" => &mut load.wait_ms,
-                "queue" | "waiting" => &mut load.waiting,
-                "inflight" | "active" => &mut load.in_work,
-                "util" | "cpu" => &mut load.busy,
-                "qps" | "allowed" => &mut load.allowed,
-                "eps" | "cut_by" => &mut load.cut,
+                "x1" | "total" => &mut load.total_lines,
+                "latency_ms" | "avg_ms" => &mut load.queue_wait_ms,
+                "queue" | "waiting" => &mut load.queued_setups,
+                "inflight" | "active" => &mut load.messages_in_progress,
+                "util" | "cpu" => &mut load.utilization,
+                "qps" | "allowed" => &mut load.allowed_rate,
+                "eps" | "cut_by" => &mut load.requested_reduction,
                 _ => continue,
             };
             *place = figure;
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -23,7 +23,7 @@
 use crate::link;
 use crate::list::{Directory, Listed, resolver};
 use crate::operate::Desk;
-use crate::{ListScope, Micros, Outcome};
+use crate::{EndpointListScope, Micros, Outcome};
 
 use clients::Clients;
 use servers::Servers;
@@ -83,7 +83,7 @@
     resolver::follow(server, service, Some(seq), &heard, |asked, serial, list| {
         let mut front = front.borrow_mut();
         front.seq = serial.unwrap_or(front.seq);
-        front.take_list(asked, ListScope::Whole, list);
+        front.take_list(asked, EndpointListScope::Complete, list);
     })
     .await;
 }
@@ -127,7 +127,7 @@
         }
     }
 
-    fn take_list(&mut self, told: Micros, scope: ListScope, list: Vec<Listed>) {
+    fn take_list(&mut self, told: Micros, scope: EndpointListScope, list: Vec<Listed>) {
         let now = clock::now();
         self.host.listed = Some(now);
         let (entries, changes) = self.directory.learn(scope, list);
--- a/src/platform/servers.rs
+++ b/src/platform/servers.rs
@@ -207,7 +207,7 @@
         let Some(caller) = self.clients.caller(attempt.call) else { return };
         let (tag, class, key) = (caller.tag, (caller.class, caller.class_text.clone()), caller.key.clone());
         let Some(id) = self.usable_link(server, tag, now) else {
-            let (outcome, cause) = (Outcome::Unreachable, Cause::Untold);
+            let (outcome, cause) = (Outcome::Unreachable, Cause::Unspecified);
             return self.host.inputs.push_back(Input::Ended {
                 attempt,
                 outcome,
@@ -395,10 +395,10 @@
         }
         for (tag, ticket) in std::mem::take(&mut link.open) {
             // What was not begun to be written has never run, and need not wait to go out again.
-            let outcome = if link.outbox.take_back(ticket) { Outcome::Unreachable } else { Outcome::Cut };
+            let outcome = if link.outbox.take_back(ticket) { Outcome::Unreachable } else { Outcome::Reset };
             let slot = self.servers.slots.get(&(link.server, tag));
             if let Some(slot) = slot.filter(|s| s.link == id && !s.stands) {
-                self.end_attempt(slot.attempt, outcome, Cause::Untold, LoadReport::default());
+                self.end_attempt(slot.attempt, outcome, Cause::Unspecified, LoadReport::default());
             }
         }
         self.return_held(link.server, link.held);
@@ -410,7 +410,12 @@
         for item in held {
             match item {
                 Held::SetUp { attempt, .. } => {
-                    self.end_attempt(attempt, Outcome::Unreachable, Cause::Untold, LoadReport::default());
+                    self.end_attempt(
+                        attempt,
+                        Outcome::Unreachable,
+                        Cause::Unspecified,
+                        LoadReport::default(),
+                    );
                 }
                 Held::Release(tag) => self.send_release(server, tag),
                 Held::Probe(_) => {} // times out by itself
@@ -437,7 +442,7 @@
             }
         }
         for attempt in attempts {
-            self.end_attempt(attempt, Outcome::Unreachable, Cause::Untold, LoadReport::default());
+            self.end_attempt(attempt, Outcome::Unreachable, Cause::Unspecified, LoadReport::default());
         }
     }
 
@@ -525,18 +530,18 @@
         self.host.record.note(clock::now(), attempt.call, Step::ServerSpokeOn(id));
         let outcome = match (stands, line.cause) {
             (true, Some(cause::NORMAL)) => Outcome::Completed,
-            (true, _) => Outcome::Cut,
-            (false, Some(cause::NO_CIRCUIT | 42)) => Outcome::Full,
-            (false, Some(cause::MOOT)) => Outcome::Void,
-            (false, Some(cause::TEMPORARY_FAILURE)) => Outcome::Cut,
+            (true, _) => Outcome::Reset,
+            (false, Some(cause::NO_CIRCUIT | 42)) => Outcome::Rejected,
+            (false, Some(cause::MOOT)) => Outcome::NotSent,
+            (false, Some(cause::TEMPORARY_FAILURE)) => Outcome::Reset,
             (false, Some(cause::NORMAL)) => Outcome::Cancelled,
             (false, _) => Outcome::Failed,
         };
         let note = match line.text("note").as_deref() {
-            Some("no_path") => Cause::NoLine,
-            Some("queue_long") => Cause::ProcessorFull { wait: None },
+            Some("no_path") => Cause::NoFreeLine,
+            Some("queue_long") => Cause::ProcessorOverloaded { retry_after: None },
             Some("line_taken") => Cause::NumberBusy,
-            _ => Cause::Untold,
+            _ => Cause::Unspecified,
         };
         if stands {
             self.servers.write(id, &encode("FINISHED", tag, &[], None, None));
--- a/src/platform/sibling.rs
+++ b/src/platform/sibling.rs
@@ -18,7 +18,7 @@
 use crate::link::{self, Outbox};
 use crate::list::Listed;
 use crate::operate::handover::{Inheritance, Known, LINE_BYTES, Role, Standing, Taken, VERSION, Word};
-use crate::{CallId, Cause, ListScope, LoadReport, Outcome, Status};
+use crate::{CallId, Cause, EndpointListScope, LoadReport, Outcome, ServerStatus};
 
 use super::line::Tag;
 use super::{Front, Shared};
@@ -209,8 +209,8 @@
                     .and_then(|(server, tag)| self.servers.standing_at(server, tag));
                 match attempt {
                     Some(attempt) => {
-                        let outcome = if completed { Outcome::Completed } else { Outcome::Cut };
-                        self.end_attempt(attempt, outcome, Cause::Untold, LoadReport::default());
+                        let outcome = if completed { Outcome::Completed } else { Outcome::Reset };
+                        self.end_attempt(attempt, outcome, Cause::Unspecified, LoadReport::default());
                     }
                     None => self.bounce(&Word::ServerEnds { server, tag, completed }),
                 }
@@ -237,8 +237,8 @@
             if let (Some(since), true) = (known.drains_for, as_new && self.directory.up(server))
                 && let Some(line) = self.directory.line(server)
             {
-                let draining = Listed { status: Status::Draining, ..line.clone() };
-                self.take_list(now.saturating_sub(since), ListScope::Changes, vec![draining]);
+                let draining = Listed { status: ServerStatus::Draining, ..line.clone() };
+                self.take_list(now.saturating_sub(since), EndpointListScope::Changes, vec![draining]);
             }
             if let Some((answered, load)) = known.news() {
                 self.feed(Input::Load { server, answered, load });
--- a/src/sip/clients.rs
+++ b/src/sip/clients.rs
@@ -303,7 +303,7 @@
             }
             Some(Owner::Leg(attempt)) => {
                 self.leg_over(attempt);
-                let (outcome, cause, load) = (Outcome::Completed, Cause::Untold, LoadReport::default());
+                let (outcome, cause, load) = (Outcome::Completed, Cause::Unspecified, LoadReport::default());
                 self.feed(Input::Ended { attempt, outcome, cause, load });
             }
             None => {}
--- a/src/sip/mod.rs
+++ b/src/sip/mod.rs
@@ -28,7 +28,7 @@
 use crate::limits::{Live, Plan};
 use crate::list::{Directory, Listed, resolver};
 use crate::operate::Desk;
-use crate::{CallId, ListScope, Micros, ServerId};
+use crate::{CallId, EndpointListScope, Micros, ServerId};
 
 use clients::Caller;
 use dialog::Dialog;
@@ -190,7 +190,7 @@
 
     fn take_list(&mut self, told: Micros, list: Vec<Listed>) {
         let now = clock::now();
-        let scope = ListScope::Whole;
+        let scope = EndpointListScope::Complete;
         self.host.listed = Some(now);
         let (entries, changes) = self.directory.learn(scope, list);
         for server in self.directory.servers().collect::<Vec<_>>() {
--- a/src/sip/servers.rs
+++ b/src/sip/servers.rs
@@ -49,7 +49,7 @@
         let Some(caller) = self.callers.get(&attempt.call) else { return };
         let (request, class) = (caller.request.clone(), caller.class);
         let Some(to) = self.directory.address(server) else {
-            return self.host.inputs.push_back(ended(attempt, Outcome::Unreachable, Cause::Untold));
+            return self.host.inputs.push_back(ended(attempt, Outcome::Unreachable, Cause::Unspecified));
         };
         let peer = if self.over_tcp { Peer::Tcp(to, None) } else { Peer::Udp(to) };
         let (tag, branch) = (self.new_name(), self.new_branch());
@@ -284,7 +284,7 @@
         }
         for attempt in unsent {
             self.drop_leg(attempt);
-            self.feed(ended(attempt, Outcome::Unreachable, Cause::Untold));
+            self.feed(ended(attempt, Outcome::Unreachable, Cause::Unspecified));
         }
     }
 
@@ -322,8 +322,8 @@
                 self.leg_over(attempt);
             }
             if told {
-                let outcome = if never_ran { Outcome::Unreachable } else { Outcome::Cut };
-                self.feed(ended(attempt, outcome, Cause::Untold));
+                let outcome = if never_ran { Outcome::Unreachable } else { Outcome::Reset };
+                self.feed(ended(attempt, outcome, Cause::Unspecified));
             }
         }
     }
@@ -376,7 +376,7 @@
             let told = self.legs.get(&attempt).is_some_and(|l| !l.over);
             self.leg_over(attempt);
             if told {
-                self.feed(ended(attempt, Outcome::TimedOut, Cause::Untold));
+                self.feed(ended(attempt, Outcome::TimedOut, Cause::Unspecified));
             }
         }
     }
@@ -396,7 +396,7 @@
         }
         for attempt in stopped {
             self.give_up(attempt);
-            self.feed(ended(attempt, Outcome::TimedOut, Cause::Untold));
+            self.feed(ended(attempt, Outcome::TimedOut, Cause::Unspecified));
         }
         let due = |at: &Micros| now >= *at;
         let probes: Vec<ServerId> = self.probes.iter().filter(|(_, at)| due(at)).map(|(s, _)| *s).collect();
@@ -433,12 +433,12 @@
                 let digits = r.trim().split(|c: char| !c.is_ascii_digit()).next()?;
                 digits.parse::<u64>().ok().map(|s| s.saturating_mul(1_000_000))
             });
-            (Outcome::Full, Cause::ProcessorFull { wait })
+            (Outcome::Rejected, Cause::ProcessorOverloaded { retry_after: wait })
         }
         486 | 600 => (Outcome::Failed, Cause::NumberBusy),
-        408 | 504 => (Outcome::TimedOut, Cause::Untold),
-        487 => (Outcome::Cancelled, Cause::Untold),
-        _ => (Outcome::Failed, Cause::Untold),
+        408 | 504 => (Outcome::TimedOut, Cause::Unspecified),
+        487 => (Outcome::Cancelled, Cause::Unspecified),
+        _ => (Outcome::Failed, Cause::Unspecified),
     }
 }
 
--- a/tests/limits_properties.rs
+++ b/tests/limits_properties.rs
@@ -20,23 +20,29 @@
 const CLASSES: [&str; 2] = ["voice", "order"];
 
 fn settings() -> Settings {
-    let class = |aim| Class { aim, worth: 1.0, late_worth: 0.25, pools: None, repeatable: true };
+    let class = |aim| Class {
+        latency_objective: aim,
+        priority_weight: 1.0,
+        late_weight_share: 0.25,
+        pools: None,
+        is_idempotent: true,
+    };
     Settings {
-        fronts: 1,
+        gatekeepers: 1,
         classes: vec![class(2 * SEC), class(SEC)],
         tick: 5 * MS,
         max_attempts: 4,
         may_cancel: true,
-        may_advise_retry: true,
+        may_send_retry_after: true,
         max_retry_after: 2 * SEC,
         rules: Rules {
             answer_slack: 20 * MS,
             drain_grace: 250 * MS,
             release_wait: 500 * MS,
-            start_capacity: 0.3,
-            warm_up: 15 * SEC,
-            tip_multiple: 2.0,
-            fall_time: SEC,
+            initial_capacity: 0.3,
+            warm_up_duration: 15 * SEC,
+            overload_multiple: 2.0,
+            overload_window: SEC,
         },
         ..Settings::default()
     }
@@ -232,9 +238,13 @@
             server: ServerId(server),
             pool: PoolId(server.into()),
             started_at: 0,
-            status: if self.drained.contains_key(&ServerId(server)) { Status::Draining } else { Status::Up },
+            status: if self.drained.contains_key(&ServerId(server)) {
+                ServerStatus::Draining
+            } else {
+                ServerStatus::Up
+            },
         };
-        Input::List { told: self.now, scope: ListScope::Whole, entries: vec![entry(0), entry(1)] }
+        Input::List { told: self.now, scope: EndpointListScope::Complete, entries: vec![entry(0), entry(1)] }
     }
 
     fn take(&mut self, n: u64, class: usize, number: usize, left: u64) -> Result<(), TestCaseError> {
@@ -269,14 +279,15 @@
 
     fn end(&mut self, attempt: AttemptId, how: usize) -> Result<(), TestCaseError> {
         let outcome =
-            [Outcome::Full, Outcome::Cut, Outcome::Failed, Outcome::Unreachable, Outcome::TimedOut][how];
+            [Outcome::Rejected, Outcome::Reset, Outcome::Failed, Outcome::Unreachable, Outcome::TimedOut]
+                [how];
         let call = self.calls.get_mut(&attempt.call).unwrap();
         call.out = None;
         call.not_before = self.now + call.limits.pause(outcome);
-        if matches!(outcome, Outcome::Cut | Outcome::TimedOut) {
+        if matches!(outcome, Outcome::Reset | Outcome::TimedOut) {
             call.not_before = call.not_before.max(self.now + 500 * MS);
         }
-        let (cause, load) = (Cause::Untold, LoadReport::default());
+        let (cause, load) = (Cause::Unspecified, LoadReport::default());
         self.feed(Input::Ended { attempt, outcome, cause, load })
     }
 }
@@ -364,7 +375,7 @@
         match rule {
             "attempts" => attempts > 4,
             "pause" => {
-                [Outcome::TimedOut, Outcome::Cut, Outcome::Cancelled]
+                [Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled]
                     .into_iter()
                     .any(|o| rest(o, 9) < 500 * MS)
                     || held.limits.timed_out.value.min(held.limits.reset.value) < 500 * MS
@@ -373,7 +384,7 @@
             // However the tries end, the last begins after the caller has gone.
             "never-tried" => {
                 let fastest = |tries| {
-                    let ways = [Outcome::TimedOut, Outcome::Cut, Outcome::Cancelled, Outcome::Full];
+                    let ways = [Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled, Outcome::Rejected];
                     ways.into_iter().map(|o| held.limits.pause(o)).min().unwrap_or(0)
                         + (held.limits.back_off_most(tries) as f64 * (1.0 - held.limits.jitter())) as Micros
                 };
--- a/tests/list.rs
+++ b/tests/list.rs
@@ -7,12 +7,12 @@
 
 use cobaltspool::list::resolver::{Heard, Service, follow};
 use cobaltspool::list::{Directory, Listed};
-use cobaltspool::{ListScope, PoolId, ServerId, Status};
+use cobaltspool::{EndpointListScope, PoolId, ServerId, ServerStatus};
 use peers::*;
 use rstest::rstest;
 use tokio::sync::watch;
 
-fn listed(id: &str, port: u16, status: Status) -> Listed {
+fn listed(id: &str, port: u16, status: ServerStatus) -> Listed {
     Listed { id: id.into(), address: ([127, 0, 0, 1], port).into(), pool: PoolId(2), started_at: 0, status }
 }
 
@@ -46,24 +46,25 @@
     let resolver = if lean { resolver.lean() } else { resolver };
     let mut list = until(&resolver, service.clone(), |l| l.len() == 2).await;
     list.sort_by_key(|l| l.address.port());
-    let up = |id, port| listed(id, port, Status::Up);
+    let up = |id, port| listed(id, port, ServerStatus::Up);
     assert_eq!(list, [up("s-1", 5071), up("s-2", 5072)]);
     resolver.change(2, |list| {
         list[0].draining = true;
         list.pop();
     });
     let list = until(&resolver, service, |l| l.len() == 1).await;
-    assert_eq!((&*list[0].id, list[0].status), ("s-1", Status::Draining));
+    assert_eq!((&*list[0].id, list[0].status), ("s-1", ServerStatus::Draining));
 }
 
 #[test]
 fn servers_are_known_by_id_not_by_address() {
     let mut directory = Directory::default();
-    let first = vec![listed("a", 1, Status::Up), listed("b", 2, Status::Up)];
-    let (entries, changes) = directory.learn(ListScope::Restored, first);
+    let first = vec![listed("a", 1, ServerStatus::Up), listed("b", 2, ServerStatus::Up)];
+    let (entries, changes) = directory.learn(EndpointListScope::Restored, first);
     assert_eq!(entries.iter().map(|e| e.server).collect::<Vec<_>>(), [ServerId(0), ServerId(1)]);
     assert!(changes.closed.is_empty() && changes.gone.is_empty());
-    let (entries, changes) = directory.learn(ListScope::Whole, vec![listed("c", 1, Status::Up)]);
+    let (entries, changes) =
+        directory.learn(EndpointListScope::Complete, vec![listed("c", 1, ServerStatus::Up)]);
     assert_eq!(entries[0].server, ServerId(2), "a new machine at an old address");
     assert_eq!(changes.gone, [ServerId(0), ServerId(1)], "missing from a whole list is gone");
     assert_eq!((directory.address(ServerId(0)), directory.up(ServerId(2))), (None, true));
@@ -72,13 +73,18 @@
 #[test]
 fn changes_leave_the_other_lines_alone() {
     let mut directory = Directory::default();
-    directory.learn(ListScope::Whole, vec![listed("a", 1, Status::Up), listed("b", 2, Status::Up)]);
-    let (_, changes) = directory.learn(ListScope::Changes, vec![listed("a", 1, Status::Draining)]);
+    directory.learn(
+        EndpointListScope::Complete,
+        vec![listed("a", 1, ServerStatus::Up), listed("b", 2, ServerStatus::Up)],
+    );
+    let (_, changes) =
+        directory.learn(EndpointListScope::Changes, vec![listed("a", 1, ServerStatus::Draining)]);
     assert_eq!((changes.closed, changes.gone), (vec![ServerId(0)], vec![]));
-    let (_, changes) = directory.learn(ListScope::Changes, vec![listed("a", 1, Status::Removed)]);
+    let (_, changes) =
+        directory.learn(EndpointListScope::Changes, vec![listed("a", 1, ServerStatus::Removed)]);
     assert_eq!(changes.gone, [ServerId(0)]);
-    let again = Listed { started_at: 9, ..listed("b", 2, Status::Up) };
-    let (_, changes) = directory.learn(ListScope::Changes, vec![again]);
+    let again = Listed { started_at: 9, ..listed("b", 2, ServerStatus::Up) };
+    let (_, changes) = directory.learn(EndpointListScope::Changes, vec![again]);
     assert_eq!(changes.restarted, [(ServerId(1), 9)], "the same machine, another process");
     assert_eq!((directory.up(ServerId(1)), directory.name(ServerId(1))), (true, "b"));
 }
