--- a/benches/limits.rs
+++ b/benches/limits.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cobaltspool::gateway::{AttemptId, Gateway, Input, SetUp};
+use cobaltspool::gateway::{AttemptId, Gateway, Input, SetupRequest};
 use cobaltspool::limits::trie::Trie;
 use cobaltspool::limits::{Ceilings, ClassInfo, Live};
 use cobaltspool::sections;
@@ -128,7 +128,7 @@
             let plan = sections::read_text("bench", &text, &ceilings(), None).map(|o| Rc::new(o.plan)).ok();
             let plan = plan.filter(|_| with != "no limits");
             let live = Live::of(plan, &settings(), &names, 7);
-            let mut gateway = Gateway::with(settings(), live, 7);
+            let mut gateway = Gateway::with_limits(settings(), live, 7);
             let (mut out, mut now, mut n) = (Vec::new(), 1_000_000_000u64, 0u64);
             let entries = (0..3)
                 .map(|s| ServerEntry {
@@ -140,7 +140,7 @@
                 .collect();
             gateway.handle(
                 now,
-                Input::List { told: now, scope: EndpointListScope::Complete, entries },
+                Input::EndpointList { notified_at: now, scope: EndpointListScope::Complete, entries },
                 &mut out,
             );
             let numbers = numbers();
@@ -148,26 +148,26 @@
                 n += 1;
                 now += 20_000; // 50 calls a second
                 let call = CallId(n);
-                let set_up = SetUp {
+                let set_up = SetupRequest {
                     call,
-                    name: format!("{n:016x}").into(),
+                    wire_id: format!("{n:016x}").into(),
                     class: 0,
                     number: Number(n),
-                    dialled: numbers[n as usize % numbers.len()].as_str().into(),
+                    dialled_number: numbers[n as usize % numbers.len()].as_str().into(),
                     first_choice: PoolId(0),
-                    left: 9_000_000,
-                    again: false,
+                    time_left: 9_000_000,
+                    is_redial: false,
                     description: Bytes::from_static(b"offer"),
                 };
-                gateway.handle(now, Input::SetUp(set_up), &mut out);
+                gateway.handle(now, Input::SetupRequested(set_up), &mut out);
                 let attempt = AttemptId { call, number: 0 };
                 let description = Bytes::from_static(b"answer");
-                gateway.handle(now + 5_000, Input::Stands { attempt, description }, &mut out);
-                gateway.handle(now + 9_000, Input::HungUp(call), &mut out);
+                gateway.handle(now + 5_000, Input::Established { attempt, description }, &mut out);
+                gateway.handle(now + 9_000, Input::CallReleased(call), &mut out);
                 black_box(&out);
                 out.clear();
             });
-            assert_eq!(gateway.open_calls() + gateway.standing_calls(), 0);
+            assert_eq!(gateway.pending_calls() + gateway.established_calls(), 0);
         });
     }
     group.finish();
--- a/crates/fleet-sim/src/quorum.rs
+++ b/crates/fleet-sim/src/quorum.rs
@@ -26,9 +26,9 @@
 
 /// A machine that remembers how often each order was carried out.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Counts(BTreeMap<Vec<u8>, u64>);
+pub struct ClassCounters(BTreeMap<Vec<u8>, u64>);
 
-impl Machine for Counts {
+impl Machine for ClassCounters {
     type Answer = u64;
 
     fn apply(&mut self, _: u64, body: &[u8]) -> u64 {
@@ -53,7 +53,7 @@
 struct Node {
     id: MemberId,
     voter: Option<Voter>,
-    replica: Replica<Counts>,
+    replica: Replica<ClassCounters>,
     stopped: bool,
     inbox: VecDeque<Letter>,
     disk: Disk,
--- a/crates/fleet/src/owner/mod.rs
+++ b/crates/fleet/src/owner/mod.rs
@@ -149,7 +149,7 @@
 pub struct Claim {
     /// Who asks.
     pub who: Who,
-    /// Counts its claims.
+    /// ClassCounters its claims.
     pub number: u64,
     /// Items that it would own.
     pub wants: Vec<Work>,
--- a/crates/fleet/src/quorum/types.rs
+++ b/crates/fleet/src/quorum/types.rs
@@ -115,7 +115,7 @@
         entries: Vec<Entry>,
         /// What is committed.
         commit: u64,
-        /// Counts the leader's heartbeats.
+        /// ClassCounters the leader's heartbeats.
         round: u64,
     },
     /// All up to a place, for one that is further behind than the log reaches.
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -55,7 +55,7 @@
     pub from: Record,
     /// The nonce of the start that it is meant for; 0: not known.
     pub to: u64,
-    /// Counts the sender's frames.
+    /// ClassCounters the sender's frames.
     pub counter: u64,
     /// Which question this asks or answers.
     pub probe: u64,
--- a/src/fleet/council.rs
+++ b/src/fleet/council.rs
@@ -307,7 +307,7 @@
                 Out::Restore(index, state) => match Replica::restored(&state) {
                     Some(replica) => inner.replica = replica,
                     None => {
-                        tracing::error!(target: "guard", index, "a snapshot of the fleet's log does not read")
+                        tracing::error!(target: "invariant", index, "a snapshot of the fleet's log does not read")
                     }
                 },
                 Out::Confirmed(ticket) => {
--- /dev/null
+++ b/src/gateway/attempts.rs
@@ -0,0 +1,167 @@
+//! Attempts: they are sent, cancelled and timed out. The last checks of the rules before an attempt leaves are here.
+
+use super::call_table::{CallState, InFlightAttempt};
+use super::{AttemptId, Command, ForbiddenReason, Gateway, InvariantViolation};
+use crate::limits::Verdict;
+use crate::{AttemptEnd, CallId, Cause, Event, LoadReport, Micros, Outcome, ServerId};
+
+/// How an attempt ended, as its server said or as is known without it.
+pub(super) struct EndReport {
+    pub outcome: Outcome,
+    pub cause: Cause,
+    pub load: LoadReport,
+}
+
+impl EndReport {
+    /// An end of which no server has spoken.
+    pub fn unreported(outcome: Outcome) -> EndReport {
+        EndReport { outcome, cause: Cause::Unspecified, load: LoadReport::default() }
+    }
+}
+
+impl Gateway {
+    /// Sends an attempt, if the rules allow it. `timeout` 0: until the call's deadline.
+    pub(super) fn send_attempt(
+        &mut self,
+        call: CallId,
+        server: ServerId,
+        timeout: Micros,
+        commands: &mut Vec<Command>,
+    ) {
+        let now = self.now;
+        if let Some(reason) = self.forbids(call, server) {
+            // Guards the rules against whatever the decision module asks for: the attempt never leaves.
+            let violation = InvariantViolation::AttemptForbidden { call, server, reason };
+            commands.push(Command::ReportViolation(violation));
+            self.notify_not_sent(call, server);
+            return;
+        }
+        let Some((entry, _)) = self.calls.pending_mut(call) else { return };
+        let number = entry.attempts;
+        let max_timeout = entry.held.as_ref().and_then(|held| held.try_for).unwrap_or(Micros::MAX);
+        let timeout = if timeout == 0 { max_timeout } else { timeout.min(max_timeout) };
+        let expires_at = entry.deadline.min(now.saturating_add(timeout));
+        let description = entry.description.clone();
+        self.calls.record_attempt(call, InFlightAttempt { number, server, sent_at: now, expires_at });
+        commands.push(Command::SendAttempt {
+            attempt: AttemptId { call, number },
+            server,
+            time_left: expires_at.saturating_sub(now),
+            description,
+        });
+    }
+
+    /// The rule that forbids an attempt now, if there is one. A call that is over is not sent either, but that is no
+    /// violation.
+    fn forbids(&mut self, call: CallId, server: ServerId) -> Option<ForbiddenReason> {
+        let now = self.now;
+        let max_attempts = self.settings.max_attempts;
+        let drain_grace = self.settings.rules.drain_grace;
+        let (entry, in_flight) = self.calls.pending_mut(call)?;
+        let limit = entry.held.as_ref().map(|held| held.limits.attempts.value);
+        let is_exhausted = max_attempts > 0 && entry.attempts >= max_attempts
+            || limit.is_some_and(|limit| entry.attempts >= limit);
+        if in_flight.is_some() {
+            Some(ForbiddenReason::AttemptInFlight)
+        } else if now >= entry.deadline {
+            Some(ForbiddenReason::DeadlinePassed)
+        } else if now < entry.not_before {
+            Some(ForbiddenReason::ReleaseWait)
+        } else if is_exhausted {
+            Some(ForbiddenReason::NoAttemptsLeft)
+        } else if !self.routing.accepts_attempts(server, now, drain_grace) {
+            Some(ForbiddenReason::ServerClosed)
+        } else {
+            None
+        }
+    }
+
+    /// Tells the decision module that an attempt was not sent, where the call has no other in flight.
+    fn notify_not_sent(&mut self, call: CallId, server: ServerId) {
+        let now = self.now;
+        let Some((entry, None)) = self.calls.pending_mut(call) else { return };
+        let number = entry.attempts;
+        let unsent = InFlightAttempt { number, server, sent_at: now, expires_at: now };
+        self.notify_attempt_ended(call, unsent, EndReport::unreported(Outcome::NotSent));
+    }
+
+    /// The decision module cancels an attempt. It does so just before its final answer, so the call stays in the table.
+    pub(super) fn cancel_attempt(&mut self, call: CallId, number: u32, commands: &mut Vec<Command>) {
+        let Some((_, Some(in_flight))) = self.calls.pending_mut(call) else { return };
+        if in_flight.number == number {
+            self.abandon_attempt(call, in_flight, Outcome::Cancelled, commands);
+        }
+    }
+
+    /// An attempt got no answer in its time: it is cancelled at the server and the release wait begins.
+    pub(super) fn time_out_attempt(
+        &mut self,
+        call: CallId,
+        in_flight: InFlightAttempt,
+        commands: &mut Vec<Command>,
+    ) {
+        self.abandon_attempt(call, in_flight, Outcome::TimedOut, commands);
+    }
+
+    fn abandon_attempt(
+        &mut self,
+        call: CallId,
+        in_flight: InFlightAttempt,
+        outcome: Outcome,
+        commands: &mut Vec<Command>,
+    ) {
+        let not_before = self.now + self.settings.rules.release_wait;
+        let Some((entry, _)) = self.calls.pending_mut(call) else { return };
+        entry.state = CallState::Pending(None);
+        entry.not_before = not_before;
+        let attempt = AttemptId { call, number: in_flight.number };
+        commands.push(Command::CancelAttempt { attempt, server: in_flight.server });
+        self.notify_attempt_ended(call, in_flight, EndReport::unreported(outcome));
+    }
+
+    /// Tells the decision module that the call of an attempt is over, as no server has reported.
+    pub(super) fn notify_call_over(&mut self, call: CallId, attempt: InFlightAttempt, outcome: Outcome) {
+        self.notify_call_over_with(call, attempt, EndReport::unreported(outcome));
+    }
+
+    /// Tells the decision module that the call of an attempt is over.
+    pub(super) fn notify_call_over_with(&mut self, call: CallId, attempt: InFlightAttempt, end: EndReport) {
+        let verdict = Verdict { rest: 0, again: true };
+        self.push_attempt_end(call, attempt, end, verdict, true);
+    }
+
+    /// Tells the decision module how an attempt ended whose call goes on, and what the limits say of a retry.
+    pub(super) fn notify_attempt_ended(&mut self, call: CallId, attempt: InFlightAttempt, end: EndReport) {
+        let mut verdict = Verdict { rest: 0, again: true };
+        let now = self.now;
+        if let Some((entry, _)) = self.calls.pending_mut(call) {
+            if let Some(held) = &entry.held {
+                verdict = self.limits.after(now, held, end.outcome, entry.attempts);
+            }
+            entry.not_before = entry.not_before.max(now.saturating_add(verdict.rest));
+        }
+        self.push_attempt_end(call, attempt, end, verdict, false);
+    }
+
+    fn push_attempt_end(
+        &mut self,
+        call: CallId,
+        attempt: InFlightAttempt,
+        end: EndReport,
+        verdict: Verdict,
+        is_call_over: bool,
+    ) {
+        self.pending_events.push_back(Event::AttemptEnded(AttemptEnd {
+            call,
+            attempt: attempt.number,
+            server: attempt.server,
+            outcome: end.outcome,
+            cause: end.cause,
+            elapsed: self.now.saturating_sub(attempt.sent_at),
+            is_call_over,
+            load: end.load,
+            retry_delay: verdict.rest,
+            may_retry: verdict.again,
+        }));
+    }
+}
--- /dev/null
+++ b/src/gateway/requests.rs
@@ -0,0 +1,83 @@
+//! Requests: what callers ask for and take back. A request becomes a call in the table and an event for the decision module.
+
+use super::call_counters::CallEnd;
+use super::call_table::{CallEntry, CallState};
+use super::{AttemptId, Command, Gateway, InvariantViolation, SetupRequest};
+use crate::limits::Asked;
+use crate::{CallId, Event, NewCall, Outcome};
+
+impl Gateway {
+    pub(super) fn handle_setup_request(&mut self, request: SetupRequest, commands: &mut Vec<Command>) {
+        let SetupRequest { call, class, first_choice, time_left, .. } = request;
+        let deadline = self.now.saturating_add(time_left);
+        let quarantined_until = self.calls.quarantined_until(&request.wire_id, self.now);
+        let entry = CallEntry::pending(request.wire_id, class, deadline, request.description);
+        if !self.calls.insert_pending(call, entry) {
+            return commands.push(Command::ReportViolation(InvariantViolation::DuplicateCall(call)));
+        }
+        if let Some(until) = quarantined_until {
+            // The same call again before the release wait is over: what it held may still be taken. Guards against a
+            // caller that sends a call again, unchanged, the moment it is rejected (found on a day with rude callers: ten
+            // calls went out again 122 ms after an attempt that had timed out).
+            return self.reject(call, until - self.now, commands);
+        }
+        if class >= self.settings.classes.len() {
+            return self.fail(call, commands);
+        }
+        if let Some(retry_after) = self.reject_new_calls {
+            return self.reject(call, retry_after, commands);
+        }
+        let asked = Asked { class, pool: first_choice.0, number: &request.dialled_number, left: time_left };
+        let held = match self.limits.take(self.now, asked) {
+            Ok(held) => held,
+            Err(refusal) => {
+                // A limit of the operators' is met: the decision module need not be asked, and nothing has run.
+                let (level, cap) = (refusal.level, refusal.cap);
+                commands.push(Command::Log(format!("call {} rejected: {cap} of {level}", call.0)));
+                let retry_after = if self.settings.may_send_retry_after { refusal.wait } else { 0 };
+                return self.reject(call, retry_after, commands);
+            }
+        };
+        let max_attempts = held.limits.attempts.value;
+        self.calls.set_limits(call, held);
+        self.pending_events.push_back(Event::Call(NewCall {
+            call,
+            class,
+            number: request.number,
+            deadline,
+            first_choice,
+            is_redial: request.is_redial,
+            in_transit: false,
+            max_attempts,
+        }));
+    }
+
+    /// The caller waits no longer: it gets no final answer, and the attempt in flight is cancelled.
+    pub(super) fn handle_cancellation(&mut self, call: CallId, commands: &mut Vec<Command>) {
+        // It may have crossed our answer: then it is a release.
+        if self.calls.is_established(call) {
+            return self.handle_release(call, commands);
+        }
+        let Some(in_flight) = self.remove_pending(call, CallEnd::Cancelled) else { return };
+        self.pending_events.push_back(Event::CallerGone { call });
+        if let Some(in_flight) = in_flight {
+            let attempt = AttemptId { call, number: in_flight.number };
+            commands.push(Command::CancelAttempt { attempt, server: in_flight.server });
+            self.notify_call_over(call, in_flight, Outcome::Cancelled);
+        }
+    }
+
+    /// The caller releases an established call.
+    pub(super) fn handle_release(&mut self, call: CallId, commands: &mut Vec<Command>) {
+        if !self.calls.is_established(call) {
+            return self.handle_cancellation(call, commands);
+        }
+        let quarantine_until = self.now + self.settings.rules.release_wait;
+        let state = self.calls.remove(call, quarantine_until, CallEnd::Released);
+        if let Some(CallState::Established(established)) = state {
+            let attempt = AttemptId { call, number: established.number };
+            commands.push(Command::ReleaseAtServer { attempt, server: established.server });
+            self.notify_call_over(call, established, Outcome::Cancelled);
+        }
+    }
+}
--- /dev/null
+++ b/src/gateway/responses.rs
@@ -0,0 +1,123 @@
+//! Responses: what servers say of attempts and established calls reaches the caller or, too late for it, is released.
+
+use bytes::Bytes;
+
+use super::attempts::EndReport;
+use super::call_counters::CallEnd;
+use super::call_table::{CallState, InFlightAttempt};
+use super::{AttemptId, Command, Gateway};
+use crate::{Event, Micros, Outcome, ServerId};
+
+impl Gateway {
+    /// The call's state and its attempt; `None` once the attempt has ended.
+    fn current(&self, attempt: AttemptId) -> Option<(CallState, InFlightAttempt)> {
+        let state = self.calls.get(attempt.call)?.state;
+        let (CallState::Pending(Some(current)) | CallState::Established(current)) = state else {
+            return None;
+        };
+        (current.number == attempt.number).then_some((state, current))
+    }
+
+    pub(super) fn handle_established(
+        &mut self,
+        attempt: AttemptId,
+        description: Bytes,
+        commands: &mut Vec<Command>,
+    ) {
+        // A second answer to an established call changes nothing: its one final answer is given. The frontend never
+        // reports answers of attempts that were cancelled; it releases them where they come in.
+        let Some((CallState::Pending(_), in_flight)) = self.current(attempt) else { return };
+        let call = attempt.call;
+        if self.calls.get(call).is_some_and(|entry| self.now >= entry.deadline) {
+            // Its caller's time ended in the same turn: whichever is seen first, nobody waits for it any more.
+            return self.time_out_attempt(call, in_flight, commands);
+        }
+        if self.calls.establish(call) {
+            commands.push(Command::Accept { call, description });
+            let elapsed = self.now.saturating_sub(in_flight.sent_at);
+            let (number, server) = (in_flight.number, in_flight.server);
+            self.pending_events.push_back(Event::Established { call, attempt: number, server, elapsed });
+        }
+    }
+
+    pub(super) fn handle_attempt_ended(
+        &mut self,
+        attempt: AttemptId,
+        end: EndReport,
+        commands: &mut Vec<Command>,
+    ) {
+        let Some((state, current)) = self.current(attempt) else { return };
+        self.routing.record_load(self.now, current.server, &end.load);
+        match state {
+            CallState::Established(_) => self.end_established(attempt, current, end, commands),
+            CallState::Pending(_) => self.end_unanswered(attempt, current, end),
+        }
+    }
+
+    fn end_established(
+        &mut self,
+        attempt: AttemptId,
+        established: InFlightAttempt,
+        end: EndReport,
+        commands: &mut Vec<Command>,
+    ) {
+        let call = attempt.call;
+        let is_orderly = end.outcome == Outcome::Completed;
+        let quarantine_until = if is_orderly { 0 } else { self.now + self.settings.rules.release_wait };
+        self.calls.remove(call, quarantine_until, CallEnd::Released);
+        commands.push(Command::ReleaseToCaller { call, outcome: end.outcome });
+        self.notify_call_over_with(call, established, end);
+    }
+
+    fn end_unanswered(&mut self, attempt: AttemptId, in_flight: InFlightAttempt, mut end: EndReport) {
+        if end.outcome == Outcome::Completed {
+            // "Ended well" for what was never established is a server's error; it may have run, so the wait applies.
+            end.outcome = Outcome::Reset;
+        }
+        let not_before = self.now + self.settings.rules.release_wait;
+        if let Some((entry, _)) = self.calls.pending_mut(attempt.call) {
+            entry.state = CallState::Pending(None);
+            if end.outcome.needs_release_wait() {
+                entry.not_before = not_before;
+            }
+        }
+        self.notify_attempt_ended(attempt.call, in_flight, end);
+    }
+
+    /// A server's process has ended: what it held is cut, and nothing can be released there any more.
+    pub(super) fn handle_server_terminated(
+        &mut self,
+        server: ServerId,
+        ended_at: Micros,
+        commands: &mut Vec<Command>,
+    ) {
+        for (call, held) in self.calls.calls_at_server(server) {
+            if held.sent_at <= ended_at {
+                let attempt = AttemptId { call, number: held.number };
+                self.handle_attempt_ended(attempt, EndReport::unreported(Outcome::Reset), commands);
+            }
+        }
+    }
+
+    /// A server is out of reach and may have ended any call there: callers are told that theirs are over, and so will the
+    /// server be once it can be reached.
+    pub(super) fn handle_server_unreachable(
+        &mut self,
+        server: ServerId,
+        last_heard_at: Micros,
+        commands: &mut Vec<Command>,
+    ) {
+        for (call, held) in self.calls.calls_at_server(server) {
+            // A pending attempt has a time-out of its own.
+            if held.sent_at > last_heard_at || !self.calls.is_established(call) {
+                continue;
+            }
+            let quarantine_until = self.now + self.settings.rules.release_wait;
+            self.calls.remove(call, quarantine_until, CallEnd::Released);
+            let attempt = AttemptId { call, number: held.number };
+            commands.push(Command::ReleaseAtServer { attempt, server });
+            commands.push(Command::ReleaseToCaller { call, outcome: Outcome::Reset });
+            self.notify_call_over(call, held, Outcome::Reset);
+        }
+    }
+}
--- a/src/gateway/tests.rs
+++ b/src/gateway/tests.rs
@@ -1,32 +1,33 @@
-//! The last guards, each made to fire by asking for what the module never asks for.
+//! The core's checks of the rules, each made to fail by asking for what the decision module never asks for.
 
+use bytes::Bytes;
 use proptest::prelude::*;
 use rstest::{fixture, rstest};
 
-use super::book::Out;
+use super::call_table::{CallEntry, InFlightAttempt};
 use super::*;
-use crate::{Class, Rules, ServerStatus};
+use crate::{Cause, Class, EndpointListScope, LoadReport, Number, Outcome, PoolId, Rules, ServerEntry};
 
 const MS: Micros = 1_000;
 const CALL: CallId = CallId(1);
 const ATTEMPT: AttemptId = AttemptId { call: CALL, number: 0 };
 
-struct Bench {
+struct Harness {
     gateway: Gateway,
     now: Micros,
     out: Vec<Command>,
 }
 
-impl Bench {
-    fn see(&mut self, input: Input) -> Vec<Command> {
+impl Harness {
+    fn feed(&mut self, input: Input) -> Vec<Command> {
         self.gateway.handle(self.now, input, &mut self.out);
         std::mem::take(&mut self.out)
     }
 
-    /// Asks for an attempt behind the module's back.
-    fn force(&mut self, server: u32) -> Vec<Command> {
+    /// Asks for an attempt that the decision module has not asked for.
+    fn force_attempt(&mut self, server: u32) -> Vec<Command> {
         self.gateway.now = self.now;
-        self.gateway.attempt(CALL, ServerId(server), 0, &mut self.out);
+        self.gateway.send_attempt(CALL, ServerId(server), 0, &mut self.out);
         std::mem::take(&mut self.out)
     }
 
@@ -37,33 +38,33 @@
             started_at: 0,
             status: *status,
         };
-        let told = self.now;
-        self.see(Input::List { told, scope, entries: lines.iter().map(line).collect() })
+        let notified_at = self.now;
+        self.feed(Input::EndpointList { notified_at, scope, entries: lines.iter().map(line).collect() })
     }
 
-    fn set_up(&mut self, call: CallId, name: &str) -> Vec<Command> {
-        self.see(Input::SetUp(SetUp {
+    fn request(&mut self, call: CallId, name: &str) -> Vec<Command> {
+        self.feed(Input::SetupRequested(SetupRequest {
             call,
-            name: name.into(),
+            wire_id: name.into(),
             class: 0,
             number: Number(5),
-            dialled: "5".into(),
+            dialled_number: "5".into(),
             first_choice: PoolId(0),
-            left: 9_000 * MS,
-            again: false,
+            time_left: 9_000 * MS,
+            is_redial: false,
             description: Bytes::from_static(b"offer"),
         }))
     }
 
-    fn end(&mut self, outcome: Outcome) -> Vec<Command> {
+    fn end_attempt(&mut self, outcome: Outcome) -> Vec<Command> {
         let (cause, load) = (Cause::Unspecified, LoadReport::default());
-        self.see(Input::Ended { attempt: ATTEMPT, outcome, cause, load })
+        self.feed(Input::AttemptEnded { attempt: ATTEMPT, outcome, cause, load })
     }
 }
 
 /// Two servers, and a call that is out at the first.
 #[fixture]
-fn bench() -> Bench {
+fn harness() -> Harness {
     let class = Class {
         latency_objective: 2_000 * MS,
         priority_weight: 1.0,
@@ -75,128 +76,146 @@
     let classes = vec![class];
     let set =
         Settings { gatekeepers: 1, classes, tick: 5 * MS, max_attempts: 4, rules, ..Settings::default() };
-    let mut bench = Bench { gateway: Gateway::new(set, 7), now: 1_000_000 * MS, out: Vec::new() };
-    bench.list(EndpointListScope::Complete, &[(0, ServerStatus::Up), (1, ServerStatus::Up)]);
-    let sent = bench.set_up(CALL, "one");
-    assert!(matches!(sent[..], [Command::Send { attempt: ATTEMPT, server: ServerId(0), .. }]), "{sent:?}");
-    bench
+    let mut harness = Harness { gateway: Gateway::new(set, 7), now: 1_000_000 * MS, out: Vec::new() };
+    harness.list(EndpointListScope::Complete, &[(0, ServerStatus::Up), (1, ServerStatus::Up)]);
+    let sent = harness.request(CALL, "one");
+    assert!(
+        matches!(sent[..], [Command::SendAttempt { attempt: ATTEMPT, server: ServerId(0), .. }]),
+        "{sent:?}"
+    );
+    harness
 }
 
-fn only_a_warning(commands: &[Command]) -> bool {
-    matches!(commands, [Command::Warn(_)])
+fn is_only_a_violation(commands: &[Command]) -> bool {
+    matches!(commands, [Command::ReportViolation(_)])
 }
 
 #[rstest]
-fn no_second_attempt_while_one_is_out(mut bench: Bench) {
-    assert!(only_a_warning(&bench.force(1)));
+fn sends_no_second_attempt_while_one_is_in_flight(mut harness: Harness) {
+    assert!(is_only_a_violation(&harness.force_attempt(1)));
 }
 
 #[rstest]
-fn nothing_to_a_draining_server_once_the_window_has_passed(mut bench: Bench) {
-    bench.end(Outcome::Rejected);
-    bench.list(EndpointListScope::Changes, &[(1, ServerStatus::Draining)]);
-    bench.now += 100 * MS;
-    bench.list(EndpointListScope::Changes, &[(1, ServerStatus::Removed)]);
-    bench.now += 150 * MS;
-    assert!(only_a_warning(&bench.force(1)), "the removal did not start the window again");
-    assert!(only_a_warning(&bench.force(7)), "nothing to a server that was never listed");
+fn sends_nothing_to_a_draining_server_past_the_window(mut harness: Harness) {
+    harness.end_attempt(Outcome::Rejected);
+    harness.list(EndpointListScope::Changes, &[(1, ServerStatus::Draining)]);
+    harness.now += 100 * MS;
+    harness.list(EndpointListScope::Changes, &[(1, ServerStatus::Removed)]);
+    harness.now += 150 * MS;
+    assert!(is_only_a_violation(&harness.force_attempt(1)), "the removal did not start the window again");
+    assert!(is_only_a_violation(&harness.force_attempt(7)), "nothing to a server that was never listed");
 }
 
 #[rstest]
 #[case::cut(Outcome::Reset)]
 #[case::timed_out(Outcome::TimedOut)]
 #[case::cancelled(Outcome::Cancelled)]
-fn nothing_before_the_release_wait_is_over(mut bench: Bench, #[case] outcome: Outcome) {
-    let sent = |c: &[Command]| c.iter().any(|c| matches!(c, Command::Send { .. }));
-    assert!(!sent(&bench.end(outcome)));
-    bench.now += 499 * MS;
-    assert!(only_a_warning(&bench.force(1)));
-    bench.now += MS;
-    assert!(sent(&bench.see(Input::Tick)), "the module's own second attempt passes");
+fn sends_nothing_before_the_release_wait_is_over(mut harness: Harness, #[case] outcome: Outcome) {
+    let sent = |c: &[Command]| c.iter().any(|c| matches!(c, Command::SendAttempt { .. }));
+    assert!(!sent(&harness.end_attempt(outcome)));
+    harness.now += 499 * MS;
+    assert!(is_only_a_violation(&harness.force_attempt(1)));
+    harness.now += MS;
+    assert!(sent(&harness.feed(Input::Tick)), "the decision module's own retry passes");
 }
 
 /// A caller may send a call again, unchanged, the moment it has its answer; the release wait holds for it too.
 #[rstest]
-#[case::given_up(Input::GivenUp(CALL), false)]
-#[case::hung_up(Input::HungUp(CALL), true)]
-#[case::cut(Input::Lost { server: ServerId(0), at: Micros::MAX }, true)]
-fn the_same_call_again_waits_for_the_release(mut bench: Bench, #[case] end: Input, #[case] stands: bool) {
-    if stands {
-        bench.see(Input::Stands { attempt: ATTEMPT, description: Bytes::new() });
+#[case::cancelled(Input::SetupCancelled(CALL), false)]
+#[case::released(Input::CallReleased(CALL), true)]
+#[case::cut(Input::ServerTerminated { server: ServerId(0), at: Micros::MAX }, true)]
+fn same_wire_id_again_waits_for_the_release(
+    mut harness: Harness,
+    #[case] end: Input,
+    #[case] is_established: bool,
+) {
+    if is_established {
+        harness.feed(Input::Established { attempt: ATTEMPT, description: Bytes::new() });
     }
-    bench.see(end);
-    bench.now += 400 * MS;
+    harness.feed(end);
+    harness.now += 400 * MS;
     let wait = 100 * MS;
-    assert_eq!(bench.set_up(CallId(2), "one"), [Command::Refuse { call: CallId(2), wait }]);
-    assert!(matches!(bench.set_up(CallId(3), "other")[..], [Command::Send { .. }]));
-    bench.now += wait;
-    assert!(matches!(bench.set_up(CallId(4), "one")[..], [Command::Send { .. }]));
+    assert_eq!(harness.request(CallId(2), "one"), [Command::Reject { call: CallId(2), retry_after: wait }]);
+    assert!(matches!(harness.request(CallId(3), "other")[..], [Command::SendAttempt { .. }]));
+    harness.now += wait;
+    assert!(matches!(harness.request(CallId(4), "one")[..], [Command::SendAttempt { .. }]));
 }
 
 #[rstest]
-fn one_final_answer_only(mut bench: Bench) {
+fn call_gets_one_final_answer(mut harness: Harness) {
     let description = Bytes::from_static(b"answer");
-    let stands = Input::Stands { attempt: ATTEMPT, description: description.clone() };
-    assert_eq!(bench.see(stands.clone()), [Command::Answer { call: CALL, description }]);
-    assert_eq!(bench.see(stands), []);
+    let established = Input::Established { attempt: ATTEMPT, description: description.clone() };
+    assert_eq!(harness.feed(established.clone()), [Command::Accept { call: CALL, description }]);
+    assert_eq!(harness.feed(established), []);
     let mut out = Vec::new();
-    bench.gateway.fail(CALL, &mut out);
-    bench.gateway.refuse(CALL, 5, &mut out);
+    harness.gateway.fail(CALL, &mut out);
+    harness.gateway.reject(CALL, 5, &mut out);
     assert_eq!(out, []);
-    assert_eq!(bench.end(Outcome::Completed), [Command::Over { call: CALL, outcome: Outcome::Completed }]);
-    assert_eq!(bench.end(Outcome::Completed), []);
+    assert_eq!(
+        harness.end_attempt(Outcome::Completed),
+        [Command::ReleaseToCaller { call: CALL, outcome: Outcome::Completed }]
+    );
+    assert_eq!(harness.end_attempt(Outcome::Completed), []);
 }
 
-/// A call that the module knows nothing of is still answered by its deadline.
+/// A call of which the decision module knows nothing is still answered by its deadline.
 #[rstest]
-fn a_call_without_a_verdict_fails_at_its_deadline(mut bench: Bench) {
-    let due = bench.now + 100 * MS;
-    bench.gateway.book.open_call(CallId(2), "two".into(), 0, due, Bytes::new());
-    bench.gateway.book.sent(CallId(2), Out { number: 0, server: ServerId(0), sent: bench.now, until: due });
-    bench.now = due;
-    let given_up = AttemptId { call: CallId(2), number: 0 };
-    assert_eq!(bench.see(Input::Tick), [Command::GiveUp { attempt: given_up, server: ServerId(0) }]);
-    bench.now = bench.gateway.next_due().unwrap();
-    let last = bench.see(Input::Tick);
-    assert!(matches!(last[..], [Command::Warn(_), Command::Fail { call: CallId(2) }]), "{last:?}");
-    assert!(bench.now <= due + 20 * MS);
+fn call_without_a_decision_fails_at_its_deadline(mut harness: Harness) {
+    let due = harness.now + 100 * MS;
+    harness.gateway.calls.insert_pending(CallId(2), CallEntry::pending("two".into(), 0, due, Bytes::new()));
+    let in_flight = InFlightAttempt { number: 0, server: ServerId(0), sent_at: harness.now, expires_at: due };
+    harness.gateway.calls.record_attempt(CallId(2), in_flight);
+    harness.now = due;
+    let cancelled = AttemptId { call: CallId(2), number: 0 };
+    assert_eq!(
+        harness.feed(Input::Tick),
+        [Command::CancelAttempt { attempt: cancelled, server: ServerId(0) }]
+    );
+    harness.now = harness.gateway.next_deadline().unwrap();
+    let last = harness.feed(Input::Tick);
+    assert!(matches!(last[..], [Command::ReportViolation(_), Command::Fail { call: CallId(2) }]), "{last:?}");
+    assert!(harness.now <= due + 20 * MS);
 }
 
-/// What a server held from before its restart is cut, what it took since stands.
+/// What a server held from before its restart is cut; what it took since goes on.
 #[rstest]
-fn a_restart_cuts_what_stood_before_it(mut bench: Bench) {
-    bench.see(Input::Stands { attempt: ATTEMPT, description: Bytes::new() });
-    let at = bench.now;
-    assert_eq!(bench.see(Input::Lost { server: ServerId(0), at: at - 1 }), []);
-    let cut = [Command::Over { call: CALL, outcome: Outcome::Reset }];
-    assert_eq!(bench.see(Input::Lost { server: ServerId(0), at }), cut);
-    assert_eq!(bench.gateway.standing_calls(), 0);
+fn server_restart_cuts_calls_established_before_it(mut harness: Harness) {
+    harness.feed(Input::Established { attempt: ATTEMPT, description: Bytes::new() });
+    let at = harness.now;
+    assert_eq!(harness.feed(Input::ServerTerminated { server: ServerId(0), at: at - 1 }), []);
+    let cut = [Command::ReleaseToCaller { call: CALL, outcome: Outcome::Reset }];
+    assert_eq!(harness.feed(Input::ServerTerminated { server: ServerId(0), at }), cut);
+    assert_eq!(harness.gateway.established_calls(), 0);
 }
 
-/// At the end an open call is refused where nothing of it may have run, and fails where something may.
+/// At shutdown a pending call is rejected where nothing of it may have run, and fails where something may.
 #[rstest]
-fn the_end_answers_what_is_open(mut bench: Bench) {
-    bench.gateway.book.open_call(CallId(2), "two".into(), 0, bench.now + 100 * MS, Bytes::new());
-    let out = bench.see(Input::Close);
-    let given_up = Command::GiveUp { attempt: ATTEMPT, server: ServerId(0) };
-    assert_eq!(out, [given_up, Command::Fail { call: CALL }, Command::Refuse { call: CallId(2), wait: 0 }]);
-    assert_eq!((bench.gateway.open_calls(), bench.gateway.next_due().is_some()), (0, true));
+fn shutdown_answers_pending_calls(mut harness: Harness) {
+    let entry = CallEntry::pending("two".into(), 0, harness.now + 100 * MS, Bytes::new());
+    harness.gateway.calls.insert_pending(CallId(2), entry);
+    let out = harness.feed(Input::Shutdown);
+    let cancelled = Command::CancelAttempt { attempt: ATTEMPT, server: ServerId(0) };
+    assert_eq!(
+        out,
+        [cancelled, Command::Fail { call: CALL }, Command::Reject { call: CallId(2), retry_after: 0 }]
+    );
+    assert_eq!((harness.gateway.pending_calls(), harness.gateway.next_deadline().is_some()), (0, true));
 }
 
 /// What may happen to a random call at a random time.
 #[derive(Clone, Debug)]
-enum Happens {
-    SetUp { left: Micros, class: usize },
-    Stands(u64),
-    Ended(u64, Outcome),
-    GivenUp(u64),
-    HungUp(u64),
-    Lost(u32),
-    Unheard(u32),
-    Passes(Micros),
+enum Step {
+    Request { left: Micros, class: usize },
+    Establish(u64),
+    EndAttempt(u64, Outcome),
+    Cancel(u64),
+    Release(u64),
+    TerminateServer(u32),
+    LoseServer(u32),
+    Wait(Micros),
 }
 
-fn happens() -> impl Strategy<Value = Happens> {
+fn any_step() -> impl Strategy<Value = Step> {
     let call = 0..40u64;
     let outcome = prop_oneof![
         Just(Outcome::Completed),
@@ -207,14 +226,14 @@
         Just(Outcome::NotSent),
     ];
     prop_oneof![
-        4 => (1..3_000u64, 0..3usize).prop_map(|(ms, class)| Happens::SetUp { left: ms * MS, class }),
-        3 => call.clone().prop_map(Happens::Stands),
-        3 => (call.clone(), outcome).prop_map(|(call, outcome)| Happens::Ended(call, outcome)),
-        1 => call.clone().prop_map(Happens::GivenUp),
-        1 => call.prop_map(Happens::HungUp),
-        1 => (0..2u32).prop_map(Happens::Lost),
-        1 => (0..2u32).prop_map(Happens::Unheard),
-        3 => (1..900u64).prop_map(|ms| Happens::Passes(ms * MS)),
+        4 => (1..3_000u64, 0..3usize).prop_map(|(ms, class)| Step::Request { left: ms * MS, class }),
+        3 => call.clone().prop_map(Step::Establish),
+        3 => (call.clone(), outcome).prop_map(|(call, outcome)| Step::EndAttempt(call, outcome)),
+        1 => call.clone().prop_map(Step::Cancel),
+        1 => call.prop_map(Step::Release),
+        1 => (0..2u32).prop_map(Step::TerminateServer),
+        1 => (0..2u32).prop_map(Step::LoseServer),
+        3 => (1..900u64).prop_map(|ms| Step::Wait(ms * MS)),
     ]
 }
 
@@ -222,71 +241,71 @@
     /// Over any schedule each call that was taken is in one count or in flight, each final answer is counted as what it
     /// said, and nothing falls.
     #[test]
-    fn each_call_is_counted_once(schedule in proptest::collection::vec(happens(), 1..120)) {
+    fn each_call_is_counted_once(schedule in proptest::collection::vec(any_step(), 1..120)) {
         let class = Class { latency_objective: 2_000 * MS, priority_weight: 1.0, late_weight_share: 0.25, pools: None, is_idempotent: true };
         let rules = Rules { drain_grace: 250 * MS, release_wait: 500 * MS, ..Rules::default() };
         let classes = vec![class.clone(), class];
         let set = Settings { gatekeepers: 1, classes, tick: 5 * MS, max_attempts: 4, rules, ..Settings::default() };
-        let mut bench = Bench { gateway: Gateway::new(set, 7), now: 1_000_000 * MS, out: Vec::new() };
-        bench.list(EndpointListScope::Complete, &[(0, ServerStatus::Up), (1, ServerStatus::Up)]);
-        let (mut last, mut taken, mut unknown) = (vec![Counts::default(); 2], 0u64, 0u64);
+        let mut harness = Harness { gateway: Gateway::new(set, 7), now: 1_000_000 * MS, out: Vec::new() };
+        harness.list(EndpointListScope::Complete, &[(0, ServerStatus::Up), (1, ServerStatus::Up)]);
+        let (mut last, mut taken, mut unknown) = (vec![ClassCounters::default(); 2], 0u64, 0u64);
         // What went out: the latest attempt of each call, and the answers.
         let mut attempts = std::collections::HashMap::new();
         let (mut answers, mut refusals, mut failures) = (0u64, 0u64, 0u64);
         for step in schedule.into_iter().map(Some).chain([None]) {
             let (cause, load) = (Cause::Unspecified, LoadReport::default());
             let attempt = |call: u64| attempts.get(&CallId(call)).copied();
-            let since = bench.now;
+            let since = harness.now;
             let input = match step {
-                Some(Happens::SetUp { left, class }) => {
+                Some(Step::Request { left, class }) => {
                     taken += 1;
                     unknown += u64::from(class > 1);
                     let call = CallId(taken);
                     let (name, dialled) = (taken.to_string().into(), "5".into());
                     let (number, first_choice, description) = (Number(taken), PoolId(0), Bytes::new());
-                    Input::SetUp(SetUp { call, name, class, number, dialled, first_choice, left, again: false, description })
+                    Input::SetupRequested(SetupRequest { call, wire_id: name, class, number, dialled_number: dialled, first_choice, time_left: left, is_redial: false, description })
                 }
-                Some(Happens::Stands(call)) => match attempt(call) {
-                    Some(attempt) => Input::Stands { attempt, description: Bytes::new() },
+                Some(Step::Establish(call)) => match attempt(call) {
+                    Some(attempt) => Input::Established { attempt, description: Bytes::new() },
                     None => continue,
                 },
-                Some(Happens::Ended(call, outcome)) => match attempt(call) {
-                    Some(attempt) => Input::Ended { attempt, outcome, cause, load },
+                Some(Step::EndAttempt(call, outcome)) => match attempt(call) {
+                    Some(attempt) => Input::AttemptEnded { attempt, outcome, cause, load },
                     None => continue,
                 },
-                Some(Happens::GivenUp(call)) => Input::GivenUp(CallId(call)),
-                Some(Happens::HungUp(call)) => Input::HungUp(CallId(call)),
-                Some(Happens::Lost(server)) => Input::Lost { server: ServerId(server), at: since },
-                Some(Happens::Unheard(server)) => Input::Unheard { server: ServerId(server), since },
-                Some(Happens::Passes(by)) => {
-                    bench.now += by;
+                Some(Step::Cancel(call)) => Input::SetupCancelled(CallId(call)),
+                Some(Step::Release(call)) => Input::CallReleased(CallId(call)),
+                Some(Step::TerminateServer(server)) => Input::ServerTerminated { server: ServerId(server), at: since },
+                Some(Step::LoseServer(server)) => Input::ServerUnreachable { server: ServerId(server), last_heard_at: since },
+                Some(Step::Wait(by)) => {
+                    harness.now += by;
                     Input::Tick
                 }
-                None => Input::Close,
+                None => Input::Shutdown,
             };
-            for command in bench.see(input) {
+            for command in harness.feed(input) {
                 match command {
-                    Command::Send { attempt, .. } => drop(attempts.insert(attempt.call, attempt)),
-                    Command::Answer { .. } => answers += 1,
-                    Command::Refuse { .. } => refusals += 1,
+                    Command::SendAttempt { attempt, .. } => drop(attempts.insert(attempt.call, attempt)),
+                    Command::Accept { .. } => answers += 1,
+                    Command::Reject { .. } => refusals += 1,
                     Command::Fail { .. } => failures += 1,
                     _ => {}
                 }
             }
-            let counts = bench.gateway.counts().to_vec();
-            let mut sum = Counts::default();
+            let counts = harness.gateway.counters().to_vec();
+            let mut sum = ClassCounters::default();
             for (now, was) in counts.iter().zip(&last) {
-                let of = |c: &Counts| [c.taken, c.served, c.refused, c.failed, c.withdrawn];
+                let of = |c: &ClassCounters| [c.taken, c.served, c.rejected, c.failed, c.cancelled];
                 prop_assert!(of(now).iter().zip(of(was)).all(|(now, was)| *now >= was), "{was:?} > {now:?}");
                 sum.add(now);
             }
-            let open = bench.gateway.open_calls() as u64;
+            let open = harness.gateway.pending_calls() as u64;
             prop_assert_eq!(sum.taken, taken - unknown);
-            prop_assert_eq!(sum.taken, sum.served + sum.refused + sum.failed + sum.withdrawn + open);
+            prop_assert_eq!(sum.taken, sum.served + sum.rejected + sum.failed + sum.cancelled + open);
             // A call of a class that does not exist fails at once, and is in no count.
-            prop_assert_eq!([sum.served, sum.refused, sum.failed], [answers, refusals, failures - unknown]);
+            prop_assert_eq!([sum.served, sum.rejected, sum.failed], [answers, refusals, failures - unknown]);
             last = counts;
         }
-        prop_assert_eq!(bench.gateway.open_calls() + bench.gateway.standing_calls(), 0);
+        prop_assert_eq!(harness.gateway.pending_calls() + harness.gateway.established_calls(), 0);
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -43,14 +43,15 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod call_trace;
 pub mod cli;
 pub mod clock;
 pub mod commands;
 pub mod config;
 pub mod config_check;
+pub mod driver;
 pub mod fleet;
 pub mod gateway;
-pub mod host;
 pub mod limits;
 mod link;
 pub mod list;
@@ -59,7 +60,6 @@
 pub mod ops;
 pub mod platform;
 mod policy;
-mod record;
 pub mod sections;
 pub mod sip;
 
--- a/src/operate/figures.rs
+++ b/src/operate/figures.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write as _;
 
-use crate::gateway::Counts;
+use crate::gateway::ClassCounters;
 
 /// What every figure's name begins with.
 const PREFIX: &str = "edge_lb";
@@ -10,8 +10,8 @@
 /// What one front's core says of itself at one moment.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Figures {
-    /// Counts by class, with the class's name.
-    pub classes: Vec<(String, Counts)>,
+    /// ClassCounters by class, with the class's name.
+    pub classes: Vec<(String, ClassCounters)>,
     /// Calls taken and not yet ended.
     pub in_flight: usize,
     /// Setup servers in the list.
@@ -39,10 +39,10 @@
 
     /// The text that a scraper reads.
     pub fn render(&self) -> String {
-        type Of = fn(&Counts) -> u64;
+        type Of = fn(&ClassCounters) -> u64;
         let by_class: [(&str, &str, Of); 4] = [
             ("served_total", "Calls that were set up.", |c| c.served),
-            ("refused_total", "Calls that were turned away.", |c| c.refused),
+            ("refused_total", "Calls that were turned away.", |c| c.rejected),
             ("failed_total", "Calls that failed.", |c| c.failed),
             ("attempts_total", "Set-ups written whole to setup servers.", |c| c.attempts),
         ];
--- a/src/operate/figures/tests.rs
+++ b/src/operate/figures/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn counts(served: u64) -> Counts {
-    Counts { served, ..Counts::default() }
+fn counts(served: u64) -> ClassCounters {
+    ClassCounters { served, ..ClassCounters::default() }
 }
 
 #[test]
--- a/src/platform/clients.rs
+++ b/src/platform/clients.rs
@@ -9,16 +9,16 @@
 
 use tokio::net::{TcpListener, TcpStream};
 
+use crate::call_trace::{CallTrace, TraceStep};
 use crate::clock;
-use crate::gateway::{Input, SetUp};
-use crate::host::Front as _;
+use crate::driver::Frontend as _;
+use crate::gateway::{Input, SetupRequest};
 use crate::link::{self, Outbox, Ticket};
 use crate::operate::handover::Word;
-use crate::record::{Record, Step};
 use crate::{CallId, Micros, Number, PoolId};
 
 use super::line::{Line, Tag, Verb, cause, encode, figures, reader};
-use super::{Front, LinkId, Shared};
+use super::{LinkId, PlatformFrontend, Shared};
 
 /// How long a release is owed: until it is heard, and no longer than this, for later it would not count any more.
 const OWED: Micros = 8_000_000;
@@ -120,13 +120,13 @@
     shared: bool,
     /// The same, by when they are let go.
     until: VecDeque<(Micros, Tag)>,
-    record: Record,
+    trace: CallTrace,
 }
 
 /// Takes connections until this process gives way to another. What is queued then is still taken: a listener that closes
 /// resets it, and new connections come to the other process from then on.
-pub async fn accept(front: Shared, listener: TcpListener) {
-    let mut listens = front.borrow().listens.subscribe();
+pub async fn accept(frontend: Shared, listener: TcpListener) {
+    let mut listens = frontend.borrow().listens.subscribe();
     loop {
         let accepted = tokio::select! {
             biased;
@@ -135,8 +135,8 @@
         };
         match accepted {
             Ok((stream, from)) => {
-                if front.borrow_mut().clients.make_room() {
-                    tokio::task::spawn_local(serve(front.clone(), stream, from.ip()));
+                if frontend.borrow_mut().clients.make_room() {
+                    tokio::task::spawn_local(serve(frontend.clone(), stream, from.ip()));
                 }
                 // What made way is closed before the next comes: else a burst would take all descriptors.
                 tokio::task::yield_now().await;
@@ -147,26 +147,26 @@
             }
         }
     }
-    last_of(&front, listener);
+    last_of(&frontend, listener);
     std::future::pending().await
 }
 
 /// Takes what is queued at a listener that is to close, without waiting in between.
-fn last_of(front: &Shared, listener: TcpListener) {
+fn last_of(frontend: &Shared, listener: TcpListener) {
     let Ok(listener) = listener.into_std() else { return };
     while let Ok((stream, from)) = listener.accept() {
         let stream = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
         if let Ok(stream) = stream
-            && front.borrow_mut().clients.make_room()
+            && frontend.borrow_mut().clients.make_room()
         {
-            tokio::task::spawn_local(serve(front.clone(), stream, from.ip()));
+            tokio::task::spawn_local(serve(frontend.clone(), stream, from.ip()));
         }
     }
 }
 
-async fn serve(front: Shared, mut stream: TcpStream, peer: IpAddr) {
+async fn serve(frontend: Shared, mut stream: TcpStream, peer: IpAddr) {
     let outbox = Rc::new(Outbox::default());
-    let id = front.borrow_mut().new_link();
+    let id = frontend.borrow_mut().new_link();
     let opened = clock::now();
     let link = ClientLink {
         outbox: outbox.clone(),
@@ -178,14 +178,14 @@
         telling: HashMap::new(),
         confirms: false,
     };
-    front.borrow_mut().clients.add(id, link);
-    let on_line = |line: Line| front.borrow_mut().client_says(id, line);
+    frontend.borrow_mut().clients.add(id, link);
+    let on_line = |line: Line| frontend.borrow_mut().client_says(id, line);
     let _ = link::run(&mut stream, &outbox, WHOLE, reader(on_line), || {}).await;
-    front.borrow_mut().client_left(id);
+    frontend.borrow_mut().client_left(id);
     outbox.last_words(&stream);
 }
 
-impl Front {
+impl PlatformFrontend {
     /// Takes a caller's message; false to end the connection.
     fn client_says(&mut self, id: LinkId, line: Line) -> bool {
         match (line.verb, line.tag) {
@@ -194,7 +194,7 @@
             (Verb::Start, None) => return false,
             (Verb::Finish, Some(tag)) => {
                 if let Some(call) = self.clients.call_of(tag) {
-                    self.host.record.note(clock::now(), call, Step::CallerSpokeOn(id));
+                    self.driver.trace.record(clock::now(), call, TraceStep::CallerMessageOn(id));
                     self.clients.was_used(id);
                     self.clients.write(id, &encode("FINISHED", tag, &[], None, None));
                     self.caller_ends(call);
@@ -205,7 +205,7 @@
             }
             (Verb::Finished, Some(tag)) => self.clients.heard(id, tag),
             (Verb::Echo, Some(tag)) => {
-                let passed = i64::from(self.host.ready());
+                let passed = i64::from(self.driver.is_ready());
                 self.clients.write(id, &encode("ECHOED", tag, &[], Some(passed), None));
             }
             _ => {}
@@ -216,7 +216,7 @@
     /// A caller gives a call up, or ends one that stands.
     pub(super) fn caller_ends(&mut self, call: CallId) {
         self.clients.forget(call);
-        self.feed(Input::GivenUp(call));
+        self.feed(Input::SetupCancelled(call));
         self.servers.forget(call);
     }
 
@@ -238,7 +238,7 @@
             self.clients.write(id, &encode("FINISH", tag, &[], Some(cause::BAD_FIELD), None));
             return;
         };
-        self.feed(Input::SetUp(set_up));
+        self.feed(Input::SetupRequested(set_up));
     }
 
     fn client_left(&mut self, id: LinkId) {
@@ -246,7 +246,7 @@
         tracing::debug!(target: "link", id, "a caller's connection has ended");
         for call in link.open {
             self.clients.forget(call);
-            self.feed(Input::GivenUp(call));
+            self.feed(Input::SetupCancelled(call));
         }
         let mut torn = false;
         for (call, answer) in link.stand {
@@ -266,7 +266,7 @@
 
 impl Clients {
     /// Callers of these classes, of whom none waits longer than `longest_wait`, on at most `most` connections.
-    pub(super) fn new(classes: Vec<String>, longest_wait: Micros, most: usize, record: Record) -> Self {
+    pub(super) fn new(classes: Vec<String>, longest_wait: Micros, most: usize, trace: CallTrace) -> Self {
         Clients {
             classes,
             left_most: longest_wait as f64 / 1000.0 + LEFT_SLACK_MS,
@@ -280,7 +280,7 @@
             successor: None,
             shared: false,
             until: VecDeque::new(),
-            record,
+            trace,
         }
     }
 
@@ -355,7 +355,7 @@
     }
 
     /// Reads a set-up's fields and opens its record; `None` if a field is missing or cannot be read.
-    fn read(&mut self, id: LinkId, tag: Tag, line: Line) -> Option<SetUp> {
+    fn read(&mut self, id: LinkId, tag: Tag, line: Line) -> Option<SetupRequest> {
         let link = self.links.get_mut(&id)?;
         let name = line.text("class")?;
         let class = self.classes.iter().position(|c| *c == name)?;
@@ -386,14 +386,24 @@
         let caller = Caller { tag, class, class_text, key: key_text, link: id, peer: link.peer };
         link.open.insert(call);
         link.used = Some(clock::now());
-        self.record.note(clock::now(), call, Step::CameOn(id));
+        self.trace.record(clock::now(), call, TraceStep::RequestedOn(id));
         tracing::debug!(target: "call", call = call.0, %tag);
         self.calls.insert(call, caller);
         self.tags.insert(tag, call);
         let left = (left * 1000.0) as Micros;
         let name = tag.to_string().into();
         let (number, dialled) = (number(&key), key.into());
-        Some(SetUp { call, name, class, number, dialled, first_choice, left, again, description })
+        Some(SetupRequest {
+            call,
+            wire_id: name,
+            class,
+            number,
+            dialled_number: dialled,
+            first_choice,
+            time_left: left,
+            is_redial: again,
+            description,
+        })
     }
 
     pub(super) fn answer(&mut self, call: CallId, description: &[u8]) {
@@ -476,7 +486,7 @@
                     return;
                 }
             }
-            self.record.note(clock::now(), release.call, Step::Owed);
+            self.trace.record(clock::now(), release.call, TraceStep::ReleasePending);
             self.owed.push_back((tag, release));
         }
     }
@@ -489,7 +499,7 @@
             return Some(release);
         }
         release.told = clock::now();
-        self.record.note(release.told, release.call, Step::TellOn(id));
+        self.trace.record(release.told, release.call, TraceStep::ReleaseQueuedOn(id));
         link.telling.insert(tag, release);
         self.telling.insert(tag, id);
         None
@@ -503,7 +513,7 @@
         let Some(told_on) = self.telling.remove(&tag) else { return };
         let release = self.links.get_mut(&told_on).and_then(|l| l.telling.remove(&tag));
         if let Some(release) = release {
-            self.record.note(clock::now(), release.call, Step::Heard(id));
+            self.trace.record(clock::now(), release.call, TraceStep::ReleaseConfirmedOn(id));
         }
     }
 
@@ -516,7 +526,7 @@
             // A peer that never confirms is not told twice what it had the time to read.
             let written = release.ticket.is_some_and(|ticket| outbox.has_written(ticket));
             if confirms || !written || now < release.told + UNREAD {
-                self.record.note(now, release.call, Step::Unheard(id));
+                self.trace.record(now, release.call, TraceStep::ReleaseUnconfirmedOn(id));
                 self.owe(id, tag, release);
             }
         }
@@ -540,9 +550,9 @@
         }
         let untold = self.owed.iter().position(|(t, r)| *t == tag && r.until == until);
         if let Some((tag, release)) = untold.and_then(|n| self.owed.remove(n)) {
-            self.record.note(clock::now(), release.call, Step::Untold);
-            let story = self.record.of(release.call);
-            tracing::warn!(target: "call", call = release.call.0, %tag, %story, "no caller came to hear its end");
+            self.trace.record(clock::now(), release.call, TraceStep::ReleaseExpired);
+            let steps = self.trace.steps_of(release.call);
+            tracing::warn!(target: "call", call = release.call.0, %tag, %steps, "no caller came to hear its end");
         }
     }
 
--- a/src/platform/servers.rs
+++ b/src/platform/servers.rs
@@ -9,17 +9,17 @@
 use bytes::Bytes;
 use tokio::net::TcpStream;
 
+use crate::call_trace::TraceStep;
 use crate::clock;
+use crate::driver::Frontend as _;
 use crate::gateway::{AttemptId, Input};
-use crate::host::Front as _;
 use crate::link::{self, Outbox, Ticket};
 use crate::operate::handover::Word;
-use crate::record::Step;
 use crate::{CallId, Cause, LoadReport, Micros, Outcome, ServerId};
 
 use super::line::{Line, Tag, Verb, cause, encode, reader};
 use super::rhythm::Rhythm;
-use super::{Front, LinkId, Shared};
+use super::{LinkId, PlatformFrontend, Shared};
 
 /// A connection from which an answer is awaited and nothing at all was heard for this long may be cut: cut
 /// links are silent. A new one is dialled beside it, which settles the matter.
@@ -60,7 +60,7 @@
 
 /// A set-up or a probe that waits for its connection: it is being dialled, or its peer is slow to read.
 enum Held {
-    SetUp {
+    SetupRequest {
         attempt: AttemptId,
         until: Micros,
         tag: Tag,
@@ -176,31 +176,31 @@
     }
 }
 
-async fn run_link(front: Shared, id: LinkId, address: SocketAddr, dial: Duration, outbox: Rc<Outbox>) {
+async fn run_link(frontend: Shared, id: LinkId, address: SocketAddr, dial: Duration, outbox: Rc<Outbox>) {
     let mut stream = match tokio::time::timeout(dial, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => stream,
-        Ok(Err(e)) => return front.borrow_mut().dial_failed(id, Some(e.kind())),
-        Err(_) => return front.borrow_mut().dial_failed(id, None),
+        Ok(Err(e)) => return frontend.borrow_mut().dial_failed(id, Some(e.kind())),
+        Err(_) => return frontend.borrow_mut().dial_failed(id, None),
     };
     // Whoever has left by now is heard before what waited for this connection goes out.
     link::hear_first().await;
-    front.borrow_mut().link_up(id);
+    frontend.borrow_mut().link_up(id);
     tracing::debug!(target: "link", id, %address, "a server's connection is up");
     let on_line = |line: Line| {
-        front.borrow_mut().server_says(id, line);
+        frontend.borrow_mut().server_says(id, line);
         true
     };
     let on_drained = || {
-        let mut front = front.borrow_mut();
-        front.count_written(id);
-        front.servers.flush(id);
+        let mut frontend = frontend.borrow_mut();
+        frontend.count_written(id);
+        frontend.servers.flush(id);
     };
     let ended = link::run(&mut stream, &outbox, WHOLE, reader(on_line), on_drained).await;
     tracing::debug!(target: "link", id, %address, ?ended, "a server's connection has ended");
-    front.borrow_mut().link_ended(id);
+    frontend.borrow_mut().link_ended(id);
 }
 
-impl Front {
+impl PlatformFrontend {
     /// Sends a set-up, now or as soon as a connection takes it.
     pub(super) fn send(&mut self, attempt: AttemptId, server: ServerId, left: Micros, blob: Bytes) {
         let now = clock::now();
@@ -208,7 +208,7 @@
         let (tag, class, key) = (caller.tag, (caller.class, caller.class_text.clone()), caller.key.clone());
         let Some(id) = self.usable_link(server, tag, now) else {
             let (outcome, cause) = (Outcome::Unreachable, Cause::Unspecified);
-            return self.host.inputs.push_back(Input::Ended {
+            return self.driver.inputs.push_back(Input::AttemptEnded {
                 attempt,
                 outcome,
                 cause,
@@ -217,8 +217,8 @@
         };
         self.servers.slots.insert((server, tag), Slot { attempt, link: id, stands: false });
         self.servers.by_call.insert(attempt.call, (server, tag));
-        self.host.record.note(now, attempt.call, Step::WentOn(id));
-        self.servers.hold(id, Held::SetUp { attempt, until: now + left, tag, class, key, blob });
+        self.driver.trace.record(now, attempt.call, TraceStep::AttemptOn(id));
+        self.servers.hold(id, Held::SetupRequest { attempt, until: now + left, tag, class, key, blob });
     }
 
     pub(super) fn probe(&mut self, server: ServerId) {
@@ -302,11 +302,11 @@
             retired: false,
         };
         self.servers.links.insert(id, link);
-        let (front, dial) = (self.shared(), self.servers.dial_timeout);
+        let (frontend, dial) = (self.shared(), self.servers.dial_timeout);
         tokio::task::spawn_local(async move {
             // An end of a call that crosses the close is said again on the connection that is opened next.
             for _ in 0..ENDS_WITHIN {
-                if !after.is_some_and(|after| front.borrow().servers.links.contains_key(&after)) {
+                if !after.is_some_and(|after| frontend.borrow().servers.links.contains_key(&after)) {
                     break;
                 }
                 tokio::task::yield_now().await;
@@ -314,8 +314,8 @@
             if after.is_some() {
                 tokio::time::sleep(Duration::from_micros(SEEN_BY_THEN)).await;
             }
-            front.borrow_mut().dials(id);
-            run_link(front, id, address, dial, outbox).await;
+            frontend.borrow_mut().dials(id);
+            run_link(frontend, id, address, dial, outbox).await;
         });
         Some(id)
     }
@@ -357,17 +357,17 @@
             // Nothing listens there, and no connection is left: the process has ended, and what it held with it. One
             // that drains listens no more either, but its connections stay until its calls are over (found on a
             // recorded day: one refused dial ended 81 calls 2 s before their server did).
-            self.feed(Input::Lost { server: link.server, at: now });
+            self.feed(Input::ServerTerminated { server: link.server, at: now });
         }
     }
 
-    /// Counts the set-ups whose last byte the system has taken.
+    /// ClassCounters the set-ups whose last byte the system has taken.
     fn count_written(&mut self, id: LinkId) {
         let Some(link) = self.servers.links.get_mut(&id) else { return };
         while let Some((_, class)) =
             link.writing.front().filter(|(ticket, _)| link.outbox.has_written(*ticket))
         {
-            self.host.gateway.attempt_written(*class);
+            self.driver.gateway.record_attempt_written(*class);
             link.writing.pop_front();
         }
     }
@@ -409,7 +409,7 @@
     fn return_held(&mut self, server: ServerId, held: Vec<Held>) {
         for item in held {
             match item {
-                Held::SetUp { attempt, .. } => {
+                Held::SetupRequest { attempt, .. } => {
                     self.end_attempt(
                         attempt,
                         Outcome::Unreachable,
@@ -430,7 +430,7 @@
         let slots = &self.servers.slots;
         for link in self.servers.links.values_mut().filter(|l| l.server == server) {
             link.held.retain(|item| match item {
-                Held::SetUp { attempt, .. } => {
+                Held::SetupRequest { attempt, .. } => {
                     attempts.push(*attempt);
                     false
                 }
@@ -454,7 +454,7 @@
         load: LoadReport,
     ) {
         self.servers.forget(attempt.call);
-        self.feed(Input::Ended { attempt, outcome, cause, load });
+        self.feed(Input::AttemptEnded { attempt, outcome, cause, load });
     }
 
     fn server_says(&mut self, id: LinkId, line: Line) {
@@ -504,7 +504,7 @@
                 let attempt = slot.attempt;
                 let description = line.blob.unwrap_or_else(|| Bytes::from_static(b"\"\""));
                 // The core may find that its time is over: then it is given up in here.
-                self.feed(Input::Stands { attempt, description });
+                self.feed(Input::Established { attempt, description });
             }
             None => {
                 // An attempt that was given up stands after all: nobody waits for it any more.
@@ -527,7 +527,7 @@
             return; // of an old attempt
         }
         let (attempt, stands) = (slot.attempt, slot.stands);
-        self.host.record.note(clock::now(), attempt.call, Step::ServerSpokeOn(id));
+        self.driver.trace.record(clock::now(), attempt.call, TraceStep::ServerMessageOn(id));
         let outcome = match (stands, line.cause) {
             (true, Some(cause::NORMAL)) => Outcome::Completed,
             (true, _) => Outcome::Reset,
@@ -568,7 +568,7 @@
             self.servers.gone.iter().filter(|(_, (_, at))| now >= *at).map(|(s, _)| *s).collect();
         for server in gone {
             self.servers.gone.remove(&server);
-            self.feed(Input::Lost { server, at: now });
+            self.feed(Input::ServerTerminated { server, at: now });
             self.servers.retire(server);
         }
         for server in self.directory.servers().collect::<Vec<_>>() {
@@ -588,7 +588,7 @@
             let name = self.directory.name(server);
             tracing::warn!(server = name, "out of reach: its calls are over");
             self.servers.heard.remove(&server);
-            self.feed(Input::Unheard { server, since: heard });
+            self.feed(Input::ServerUnreachable { server, last_heard_at: heard });
             return;
         }
         let silent = |l: &ServerLink| l.server == server && l.up && now > l.heard.max(l.asked) + SIGN_OF_LIFE;
@@ -676,11 +676,11 @@
         for item in std::mem::take(&mut link.held) {
             let message = match item {
                 // Its time is over, and the core is about to find out: it is not sent on any more.
-                Held::SetUp { until, .. } if until <= now => {
+                Held::SetupRequest { until, .. } if until <= now => {
                     link.held.push(item);
                     continue;
                 }
-                Held::SetUp { until, tag, class: (class, text), key, blob, .. } => {
+                Held::SetupRequest { until, tag, class: (class, text), key, blob, .. } => {
                     link.awaits(now);
                     let left = format!("\"{}\"", until.saturating_sub(now) / 1000);
                     let opts = [("class", &*text), ("left", &*left), ("key", &*key)];
@@ -721,7 +721,7 @@
         self.forget(attempt.call);
         let Some(link) = self.links.get_mut(&id) else { return };
         let before = link.held.len();
-        link.held.retain(|item| !matches!(item, Held::SetUp { attempt: a, .. } if *a == attempt));
+        link.held.retain(|item| !matches!(item, Held::SetupRequest { attempt: a, .. } if *a == attempt));
         if link.held.len() == before && !link.take_back(tag) {
             let now = clock::now();
             link.open.remove(&tag);
--- a/src/platform/sibling.rs
+++ b/src/platform/sibling.rs
@@ -13,15 +13,15 @@
 use tokio::time::timeout;
 
 use crate::clock;
-use crate::gateway::Input;
-use crate::host::Front as _;
+use crate::driver::Frontend as _;
+use crate::gateway::{AdoptedCall, Input};
 use crate::link::{self, Outbox};
 use crate::list::Listed;
 use crate::operate::handover::{Inheritance, Known, LINE_BYTES, Role, Standing, Taken, VERSION, Word};
 use crate::{CallId, Cause, EndpointListScope, LoadReport, Outcome, ServerStatus};
 
 use super::line::Tag;
-use super::{Front, Shared};
+use super::{PlatformFrontend, Shared};
 
 /// The old process says all it knows within this, or the new one begins without.
 const HELLO: Duration = Duration::from_millis(300);
@@ -57,7 +57,7 @@
 }
 
 /// Looks for an older process at this address and takes what it tells. Never keeps this one from starting.
-pub(super) async fn meet(front: &Shared, address: SocketAddr) -> Option<Place> {
+pub(super) async fn meet(frontend: &Shared, address: SocketAddr) -> Option<Place> {
     let shared = place_of(address)?;
     let own = shared.with_extension(format!("upgrade.{}", std::process::id()));
     let _ = std::fs::remove_file(&own); // of an earlier process of the same number
@@ -77,11 +77,11 @@
         tracing::warn!(path = %place.shared.display(), "another user's socket: no hand-over");
         return Some(place);
     }
-    let told = front.borrow().sibling.told.clone();
-    front.borrow_mut().sibling.inheritance = Some(Inheritance::default());
-    tokio::task::spawn_local(speak(front.clone(), stream, Role::Newer));
+    let told = frontend.borrow().sibling.told.clone();
+    frontend.borrow_mut().sibling.inheritance = Some(Inheritance::default());
+    tokio::task::spawn_local(speak(frontend.clone(), stream, Role::Newer));
     if timeout(HELLO, told.notified()).await.is_err() {
-        front.borrow_mut().leave_sibling("the older process does not say what it knows");
+        frontend.borrow_mut().leave_sibling("the older process does not say what it knows");
     }
     Some(place)
 }
@@ -93,8 +93,8 @@
 }
 
 /// This process serves: it says so to the older one, and takes newer ones in for ever.
-pub(super) async fn follow(front: Shared, place: Option<Place>) {
-    front.borrow_mut().tell_sibling(&Word::Serving);
+pub(super) async fn follow(frontend: Shared, place: Option<Place>) {
+    frontend.borrow_mut().tell_sibling(&Word::Serving);
     let Some(Place { listener, own, shared }) = place else { return std::future::pending().await };
     // From here on the next process finds this one.
     if let Err(e) = std::fs::rename(&own, &shared) {
@@ -104,9 +104,11 @@
     loop {
         match listener.accept().await {
             // One upgrade at a time: whoever comes beside it hears nothing and begins without a hand-over.
-            Ok((stream, _)) if of_our_user(&stream, &shared) && front.borrow().sibling.outbox.is_none() => {
-                front.borrow_mut().sibling.role = Role::Older { serving: false };
-                tokio::task::spawn_local(speak(front.clone(), stream, Role::Older { serving: false }));
+            Ok((stream, _))
+                if of_our_user(&stream, &shared) && frontend.borrow().sibling.outbox.is_none() =>
+            {
+                frontend.borrow_mut().sibling.role = Role::Older { serving: false };
+                tokio::task::spawn_local(speak(frontend.clone(), stream, Role::Older { serving: false }));
                 tokio::task::yield_now().await;
             }
             Ok(_) => {}
@@ -115,26 +117,26 @@
     }
 }
 
-async fn speak(front: Shared, mut stream: UnixStream, role: Role) {
+async fn speak(frontend: Shared, mut stream: UnixStream, role: Role) {
     let outbox = Rc::new(Outbox::default());
-    front.borrow_mut().met(outbox.clone(), role);
+    frontend.borrow_mut().met(outbox.clone(), role);
     let on_bytes = |buffer: &mut BytesMut| {
         while let Some(end) = buffer.iter().position(|b| *b == b'\n') {
             let word = Word::read(&buffer[..end]);
             buffer.advance(end + 1);
-            if !word.is_some_and(|word| front.borrow_mut().sibling_says(word)) {
+            if !word.is_some_and(|word| frontend.borrow_mut().sibling_says(word)) {
                 return false;
             }
         }
         buffer.len() < LINE_BYTES
     };
-    let on_drained = || front.borrow_mut().hand_over();
+    let on_drained = || frontend.borrow_mut().hand_over();
     let _ = link::run(&mut stream, &outbox, WHOLE, on_bytes, on_drained).await;
     outbox.last_words(&stream);
-    front.borrow_mut().sibling_left(&outbox);
+    frontend.borrow_mut().sibling_left(&outbox);
 }
 
-impl Front {
+impl PlatformFrontend {
     fn met(&mut self, outbox: Rc<Outbox>, role: Role) {
         self.sibling.outbox = Some(outbox);
         self.turn_to(role);
@@ -146,8 +148,8 @@
     /// Takes on a role, with what is shared by it.
     fn turn_to(&mut self, role: Role) {
         self.sibling.role = role;
-        self.host.service.succeeded(role.succeeded());
-        self.host.gateway.share(role.shares());
+        self.driver.serving_state.succeeded(role.succeeded());
+        self.driver.gateway.set_limits_shared(role.shares());
         self.clients.share(role.shares());
         self.clients.successor = self.sibling.outbox.clone().filter(|_| role.succeeded());
     }
@@ -162,12 +164,13 @@
         let now = clock::now();
         self.tell_sibling(&Word::Hello { version: VERSION, seq: self.seq });
         for server in self.directory.servers().collect::<Vec<_>>() {
-            let (silent, report, drains) = self.host.gateway.known_of(server);
+            let known = self.driver.gateway.knowledge_of(server);
+            let report = known.last_reported_wait;
             let word = Word::Server(Known {
                 server: self.directory.name(server).to_string(),
-                drains_for: drains.map(|since| now.saturating_sub(since)),
-                silent,
-                report: report.map(|(at, wait)| (now.saturating_sub(at), wait)),
+                drains_for: known.draining_since.map(|since| now.saturating_sub(since)),
+                silent: known.is_ejected,
+                report: report.map(|report| (now.saturating_sub(report.at), report.wait_ms)),
             });
             self.tell_sibling(&word);
         }
@@ -194,7 +197,7 @@
             Word::Serving if matches!(self.sibling.role, Role::Older { .. }) => {
                 tracing::info!("a newer process serves beside this one");
                 self.turn_to(Role::Older { serving: true });
-                self.care(clock::now());
+                self.maintain(clock::now());
             }
             Word::Standing(call) => self.adopt(call),
             Word::CallerEnds { tag } => match Tag::new(&tag).and_then(|tag| self.clients.call_of(tag)) {
@@ -281,18 +284,19 @@
         };
         let call = self.clients.adopt(tag, class, standing.peer);
         let attempt = self.servers.adopt(server, tag, call);
-        self.feed(Input::Adopted { attempt, name: tag.to_string().into(), class, server });
+        let wire_id = tag.to_string().into();
+        self.feed(Input::CallAdopted(AdoptedCall { attempt, wire_id, class, server }));
     }
 
     /// Hands calls that stand over to the newer process, as many as it reads at once. A call at a server that drains
     /// stays: such a server listens no more, so the newer process gets no connection on which it could hear of the
     /// call's end, and takes the refused dial for the server's end.
     pub(super) fn hand_over(&mut self) {
-        if !self.host.service.gives_way() {
+        if !self.driver.serving_state.gives_way() {
             return;
         }
         let Some(outbox) = self.sibling.outbox.clone() else { return };
-        for call in self.host.gateway.standing() {
+        for call in self.driver.gateway.established_call_ids() {
             if outbox.waiting() > HANDED_BYTES {
                 return; // the rest follows when this is written
             }
@@ -317,14 +321,14 @@
         if outbox.push(&word.line()).is_some() {
             self.servers.forget(call);
             self.clients.forget(call);
-            self.feed(Input::HandedOver(call));
+            self.feed(Input::CallHandedOver(call));
         }
     }
 
     /// A word on a call that is not here. It may have been said to the newer process while the call was on its way there:
     /// the older one sends it back once, and by then the call has arrived before it.
     fn bounce(&mut self, word: &Word) {
-        if self.host.service.gives_way() {
+        if self.driver.serving_state.gives_way() {
             self.tell_sibling(word);
         }
     }
--- a/src/sip/clients.rs
+++ b/src/sip/clients.rs
@@ -5,15 +5,15 @@
 use bytes::Bytes;
 
 use crate::clock;
-use crate::gateway::{Input, SetUp};
-use crate::host::Front as _;
+use crate::driver::Frontend as _;
+use crate::gateway::{Input, SetupRequest};
 use crate::{CallId, Cause, LoadReport, Micros, Number, Outcome, PoolId};
 
 use super::dialog::Dialog;
 use super::message::{Message, param, sent_by, uri_parts};
 use super::transaction::{Answer, Due, Server};
 use super::transport::Peer;
-use super::{ALLOW, Front, Owner, ServerKey, ServerTransaction, note_source};
+use super::{ALLOW, Owner, ServerKey, ServerTransaction, SipFrontend, note_source};
 
 /// What is remembered of a call's caller for as long as the call is open or stands.
 pub(super) struct Caller {
@@ -35,7 +35,7 @@
     over: bool,
 }
 
-impl Front {
+impl SipFrontend {
     /// Takes a request that is well-formed.
     pub(super) fn request(&mut self, from: Peer, mut message: Message) {
         let peer = note_source(&mut message, from);
@@ -78,7 +78,7 @@
             }
             ("INVITE", None) if hops == Some(0) => 483,
             ("INVITE", None) => return self.invited(key, request),
-            ("OPTIONS", None) if !self.host.ready() => 503,
+            ("OPTIONS", None) if !self.driver.is_ready() => 503,
             ("OPTIONS", None) => 200,
             ("BYE", None) => 481,
             _ => 405,
@@ -163,8 +163,18 @@
         };
         self.callers.insert(call, caller);
         let (first_choice, again) = (PoolId(pool), false);
-        let set_up = SetUp { call, name, class, number, dialled, first_choice, left, again, description };
-        self.feed(Input::SetUp(set_up));
+        let set_up = SetupRequest {
+            call,
+            wire_id: name,
+            class,
+            number,
+            dialled_number: dialled,
+            first_choice,
+            time_left: left,
+            is_redial: again,
+            description,
+        };
+        self.feed(Input::SetupRequested(set_up));
     }
 
     /// CANCEL (§9.2): it ends an INVITE that has no final answer, and changes nothing else.
@@ -179,7 +189,7 @@
         // If the final answer has crossed the CANCEL, that answer stays; the caller ACKs it and says BYE.
         if self.respond(invite, terminated) {
             self.callers.remove(&call);
-            self.feed(Input::GivenUp(call));
+            self.feed(Input::SetupCancelled(call));
         }
     }
 
@@ -299,12 +309,12 @@
         match owner {
             Some(Owner::Caller(call)) => {
                 self.callers.remove(&call);
-                self.feed(Input::HungUp(call));
+                self.feed(Input::CallReleased(call));
             }
             Some(Owner::Leg(attempt)) => {
                 self.leg_over(attempt);
                 let (outcome, cause, load) = (Outcome::Completed, Cause::Unspecified, LoadReport::default());
-                self.feed(Input::Ended { attempt, outcome, cause, load });
+                self.feed(Input::AttemptEnded { attempt, outcome, cause, load });
             }
             None => {}
         }
@@ -325,7 +335,7 @@
         }
         for call in unheard {
             self.bye_caller(call);
-            self.feed(Input::HungUp(call));
+            self.feed(Input::CallReleased(call));
         }
     }
 }
--- a/src/sip/mod.rs
+++ b/src/sip/mod.rs
@@ -1,4 +1,4 @@
-//! The SIP front: a back-to-back user agent (RFC 3261) whose calls pass the core that the platform's front uses.
+//! The SIP frontend: a back-to-back user agent (RFC 3261) whose calls pass the core that the platform's frontend uses.
 //!
 //! Towards callers it is a user agent server (`clients`), towards servers a user agent client (`servers`); each
 //! attempt has a Call-ID of its own, so that a late message of an old attempt is never taken for a new one's.
@@ -23,8 +23,8 @@
 
 use crate::clock;
 use crate::config::SipConfig;
+use crate::driver::{self, Driver, Frontend as _};
 use crate::gateway::{AttemptId, Command, Gateway, Input};
-use crate::host::{self, Front as _, Host};
 use crate::limits::{Live, Plan};
 use crate::list::{Directory, Listed, resolver};
 use crate::operate::Desk;
@@ -40,7 +40,7 @@
 /// What we do for a request, by its method.
 const ALLOW: &str = "INVITE, ACK, CANCEL, BYE, OPTIONS";
 
-type Shared = Rc<RefCell<Front>>;
+type Shared = Rc<RefCell<SipFrontend>>;
 
 /// A server transaction's key (§17.2.3): branch, sent-by, and method.
 type ServerKey = (String, String, String);
@@ -85,9 +85,9 @@
     call: Option<CallId>,
 }
 
-/// The front's state; one task at a time has it, and none keeps it while it waits.
-pub struct Front {
-    host: Host,
+/// The frontend's state; one task at a time has it, and none keeps it while it waits.
+pub struct SipFrontend {
+    driver: Driver,
     directory: Directory,
     transport: Transport,
     times: Times,
@@ -106,14 +106,14 @@
     gone: BTreeMap<ServerId, (Micros, Micros)>,
     next_call: u64,
     names: u64,
-    me: Weak<RefCell<Front>>,
+    me: Weak<RefCell<SipFrontend>>,
 }
 
 /// Serves until it is told to stop and has nothing left to do. `resolver` tells whom to ask for the list.
 pub async fn serve(
     config: SipConfig,
     resolver: watch::Receiver<SocketAddr>,
-    plan: host::Plans,
+    plan: driver::LimitPlans,
     desk: Rc<Desk>,
     stop: impl Future<Output = ()>,
 ) -> Result<(), String> {
@@ -127,33 +127,33 @@
     let udp = Rc::new(udp);
     let dial = Duration::from_micros(config.dial_timeout.max(1_000));
     let transport = Transport::new(udp.clone(), udp_address, tcp_address, dial);
-    let front = Front::start(&config, plan.borrow().clone(), transport);
+    let frontend = SipFrontend::start(&config, plan.borrow().clone(), transport);
     let follow = async {
         let service = resolver::Service::DnsSd(config.service.clone());
-        let on_list = |asked, _, list| front.borrow_mut().take_list(asked, list);
-        let heard = front.borrow().host.list_heard.clone();
+        let on_list = |asked, _, list| frontend.borrow_mut().take_list(asked, list);
+        let heard = frontend.borrow().driver.list_heard_at.clone();
         resolver::follow(resolver, service, None, &heard, on_list).await;
     };
     let tasks = async {
         tokio::join!(
-            transport::read_datagrams(front.clone(), udp),
-            transport::accept(front.clone(), tcp),
+            transport::read_datagrams(frontend.clone(), udp),
+            transport::accept(frontend.clone(), tcp),
             follow,
-            host::follow_plan(&front, plan)
+            driver::follow_limits(&frontend, plan)
         )
     };
-    host::run(front.clone(), desk, tasks, stop).await;
+    driver::run(frontend.clone(), desk, tasks, stop).await;
     Ok(())
 }
 
-impl Front {
+impl SipFrontend {
     fn start(config: &SipConfig, plan: Option<Rc<Plan>>, transport: Transport) -> Shared {
         let limits = Live::of(plan, &config.settings, &config.classes, config.seed);
-        let gateway = Gateway::with(config.settings.clone(), limits, config.seed);
-        let host = Host::new(gateway, config.classes.clone(), config.wait);
+        let gateway = Gateway::with_limits(config.settings.clone(), limits, config.seed);
+        let driver = Driver::new(gateway, config.classes.clone(), config.wait);
         Rc::new_cyclic(|me| {
-            RefCell::new(Front {
-                host,
+            RefCell::new(SipFrontend {
+                driver,
                 directory: Directory::default(),
                 transport,
                 times: Times { t1: config.t1 },
@@ -176,7 +176,7 @@
     }
 
     fn shared(&self) -> Shared {
-        self.me.upgrade().expect("the front is only reached through its shared handle")
+        self.me.upgrade().expect("the frontend is only reached through its shared handle")
     }
 
     /// A name that was not used before, for tags, branches and Call-IDs (splitmix64).
@@ -191,7 +191,7 @@
     fn take_list(&mut self, told: Micros, list: Vec<Listed>) {
         let now = clock::now();
         let scope = EndpointListScope::Complete;
-        self.host.listed = Some(now);
+        self.driver.list_received_at = Some(now);
         let (entries, changes) = self.directory.learn(scope, list);
         for server in self.directory.servers().collect::<Vec<_>>() {
             // It is another process: what the one before held is cut, and nothing of what comes now.
@@ -199,7 +199,7 @@
                 self.lost(server, at);
             }
         }
-        self.feed(Input::List { told, scope, entries });
+        self.feed(Input::EndpointList { notified_at: told, scope, entries });
         for server in &changes.closed {
             tracing::info!(server = self.directory.name(*server), "takes nothing new");
             self.stop_repeats(*server, told);
@@ -215,7 +215,7 @@
     /// A server's process has ended: nothing more is to be sent to what it held.
     fn lost(&mut self, server: ServerId, at: Micros) {
         self.forget_legs(server, at);
-        self.feed(Input::Lost { server, at });
+        self.feed(Input::ServerTerminated { server, at });
     }
 
     // ---- Transactions ----
@@ -322,33 +322,33 @@
     }
 }
 
-impl host::Front for Front {
-    const CARE: Micros = 20_000;
+impl driver::Frontend for SipFrontend {
+    const MAINTENANCE_INTERVAL: Micros = 20_000;
 
-    fn host(&mut self) -> &mut Host {
-        &mut self.host
+    fn driver(&mut self) -> &mut Driver {
+        &mut self.driver
     }
 
     fn carry_out(&mut self, command: Command) {
         match command {
-            Command::Send { attempt, server, left, description } => {
+            Command::SendAttempt { attempt, server, time_left: left, description } => {
                 self.invite(attempt, server, left, description);
             }
-            Command::GiveUp { attempt, .. } => self.give_up(attempt),
-            Command::Release { attempt, .. } => self.release(attempt),
-            Command::Answer { call, description } => self.answer(call, description),
-            Command::Refuse { call, wait } => self.refuse(call, wait),
+            Command::CancelAttempt { attempt, .. } => self.give_up(attempt),
+            Command::ReleaseAtServer { attempt, .. } => self.release(attempt),
+            Command::Accept { call, description } => self.answer(call, description),
+            Command::Reject { call, retry_after: wait } => self.refuse(call, wait),
             Command::Fail { call } => self.fail(call),
-            Command::Over { call, .. } => self.over(call),
-            Command::Probe(server) => self.probe(server),
+            Command::ReleaseToCaller { call, .. } => self.over(call),
+            Command::CheckHealth(server) => self.probe(server),
             // Connections are shared by all that goes to an address; the host logs the rest.
-            Command::CloseIdle(_) | Command::Note(_) | Command::Warn(_) => {}
+            Command::CloseIdle(_) | Command::Log(_) | Command::ReportViolation(_) => {}
         }
         self.start_dials();
     }
 
-    fn care(&mut self, now: Micros) {
-        self.host.gateway.turn_away(self.host.service.turns_away(now, true));
+    fn maintain(&mut self, now: Micros) {
+        self.driver.gateway.reject_new_calls(self.driver.serving_state.turns_away(now, true));
         self.care_for_transactions(now);
         self.care_for_callers(now);
         self.care_for_legs(now);
--- a/src/sip/servers.rs
+++ b/src/sip/servers.rs
@@ -5,15 +5,15 @@
 use bytes::Bytes;
 
 use crate::clock;
+use crate::driver::Frontend as _;
 use crate::gateway::{AttemptId, Input};
-use crate::host::Front as _;
 use crate::{Cause, LoadReport, Micros, Outcome, ServerId};
 
 use super::dialog::Dialog;
 use super::message::{Message, address, uri_parts};
 use super::transaction::{Due, Heard, State};
 use super::transport::{ConnId, Peer};
-use super::{ALLOW, ClientKey, ClientTransaction, Front, Owner, Purpose};
+use super::{ALLOW, ClientKey, ClientTransaction, Owner, Purpose, SipFrontend};
 
 /// A probe that takes longer has failed.
 const PROBE_TIME: Micros = 250_000;
@@ -44,12 +44,12 @@
     acks: Vec<(String, Bytes)>,
 }
 
-impl Front {
+impl SipFrontend {
     pub(super) fn invite(&mut self, attempt: AttemptId, server: ServerId, left: Micros, body: Bytes) {
         let Some(caller) = self.callers.get(&attempt.call) else { return };
         let (request, class) = (caller.request.clone(), caller.class);
         let Some(to) = self.directory.address(server) else {
-            return self.host.inputs.push_back(ended(attempt, Outcome::Unreachable, Cause::Unspecified));
+            return self.driver.inputs.push_back(ended(attempt, Outcome::Unreachable, Cause::Unspecified));
         };
         let peer = if self.over_tcp { Peer::Tcp(to, None) } else { Peer::Udp(to) };
         let (tag, branch) = (self.new_name(), self.new_branch());
@@ -95,7 +95,7 @@
         self.legs.insert(attempt, leg);
         self.dialogs.insert((call_id, tag), Owner::Leg(attempt));
         self.start_client(peer, invite, Purpose::Invite(attempt), branch);
-        self.host.gateway.attempt_written(class);
+        self.driver.gateway.record_attempt_written(class);
     }
 
     /// Asks a server whether it is there.
@@ -179,7 +179,7 @@
         if let Some(caller) = self.callers.get_mut(&attempt.call) {
             caller.answer_type = message.get("Content-Type").map(str::to_string);
         }
-        self.feed(Input::Stands { attempt, description: message.body });
+        self.feed(Input::Established { attempt, description: message.body });
     }
 
     /// Any other final response: the ACK is the transaction's (§17.1.1.3).
@@ -417,12 +417,12 @@
     }
 }
 
-fn transaction_over(front: &Front, key: &ClientKey) -> bool {
-    front.client_txns.get(key).is_some_and(|t| t.machine.state == State::Terminated)
+fn transaction_over(frontend: &SipFrontend, key: &ClientKey) -> bool {
+    frontend.client_txns.get(key).is_some_and(|t| t.machine.state == State::Terminated)
 }
 
 fn ended(attempt: AttemptId, outcome: Outcome, cause: Cause) -> Input {
-    Input::Ended { attempt, outcome, cause, load: LoadReport::default() }
+    Input::AttemptEnded { attempt, outcome, cause, load: LoadReport::default() }
 }
 
 /// What a final response other than 2xx says of the attempt (§21).
--- a/src/sip/transport.rs
+++ b/src/sip/transport.rs
@@ -15,7 +15,7 @@
 use crate::link::{self, Outbox};
 
 use super::message::{self, Next};
-use super::{Front, Shared};
+use super::{Shared, SipFrontend};
 
 /// The longest datagram.
 const DATAGRAM_BYTES: usize = 65_535;
@@ -65,7 +65,7 @@
     conns: BTreeMap<ConnId, Conn>,
     next: ConnId,
     dial_timeout: Duration,
-    /// Connections to be dialled; the front starts them once its state is its own again.
+    /// Connections to be dialled; the frontend starts them once its state is its own again.
     dials: Vec<ConnId>,
 }
 
@@ -150,13 +150,13 @@
 }
 
 /// Reads datagrams for ever.
-pub(super) async fn read_datagrams(front: Shared, socket: Rc<UdpSocket>) {
+pub(super) async fn read_datagrams(frontend: Shared, socket: Rc<UdpSocket>) {
     let mut buffer = vec![0; DATAGRAM_BYTES];
     loop {
         match socket.recv_from(&mut buffer).await {
             Ok((size, from)) => match message::read_datagram(&buffer[..size]) {
-                Some(Ok(message)) => front.borrow_mut().received(Peer::Udp(from), message),
-                Some(Err(message)) => front.borrow_mut().malformed(Peer::Udp(from), message),
+                Some(Ok(message)) => frontend.borrow_mut().received(Peer::Udp(from), message),
+                Some(Err(message)) => frontend.borrow_mut().malformed(Peer::Udp(from), message),
                 None => {}
             },
             // An ICMP error of an earlier datagram; timers find out what it means.
@@ -166,13 +166,13 @@
 }
 
 /// Takes TCP connections for ever.
-pub(super) async fn accept(front: Shared, listener: TcpListener) {
+pub(super) async fn accept(frontend: Shared, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, from)) => {
-                if front.borrow_mut().transport.make_room() {
-                    let id = front.borrow_mut().transport.add(from, true);
-                    tokio::task::spawn_local(run(front.clone(), id, stream));
+                if frontend.borrow_mut().transport.make_room() {
+                    let id = frontend.borrow_mut().transport.add(from, true);
+                    tokio::task::spawn_local(run(frontend.clone(), id, stream));
                 }
                 // What made way is closed before the next comes.
                 tokio::task::yield_now().await;
@@ -185,56 +185,56 @@
     }
 }
 
-async fn run(front: Shared, id: ConnId, mut stream: TcpStream) {
+async fn run(frontend: Shared, id: ConnId, mut stream: TcpStream) {
     let Some((outbox, address)) =
-        front.borrow().transport.conns.get(&id).map(|c| (c.outbox.clone(), c.address))
+        frontend.borrow().transport.conns.get(&id).map(|c| (c.outbox.clone(), c.address))
     else {
         return;
     };
     let on_bytes = |buffer: &mut BytesMut| loop {
         match message::next(buffer) {
             Next::Message(message) => {
-                let mut front = front.borrow_mut();
-                if let Some(conn) = front.transport.conns.get_mut(&id) {
+                let mut frontend = frontend.borrow_mut();
+                if let Some(conn) = frontend.transport.conns.get_mut(&id) {
                     conn.used = clock::now();
                 }
-                front.received(Peer::Tcp(address, Some(id)), message);
+                frontend.received(Peer::Tcp(address, Some(id)), message);
             }
             Next::More => return true,
             Next::Broken => return false,
         }
     };
-    let on_drained = || front.borrow_mut().transport.flush(id);
+    let on_drained = || frontend.borrow_mut().transport.flush(id);
     let _ = link::run(&mut stream, &outbox, WHOLE, on_bytes, on_drained).await;
     outbox.last_words(&stream);
-    front.borrow_mut().conn_ended(id, true);
+    frontend.borrow_mut().conn_ended(id, true);
 }
 
-async fn dial(front: Rc<RefCell<Front>>, id: ConnId, address: SocketAddr, limit: Duration) {
+async fn dial(frontend: Rc<RefCell<SipFrontend>>, id: ConnId, address: SocketAddr, limit: Duration) {
     match tokio::time::timeout(limit, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => {
             {
-                let transport = &mut front.borrow_mut().transport;
+                let transport = &mut frontend.borrow_mut().transport;
                 if let Some(conn) = transport.conns.get_mut(&id) {
                     conn.up = true;
                 }
                 transport.flush(id);
             }
-            run(front, id, stream).await;
+            run(frontend, id, stream).await;
         }
         Ok(Err(e)) => {
             let refused = e.kind() == io::ErrorKind::ConnectionRefused;
-            let mut front = front.borrow_mut();
-            front.conn_ended(id, false);
+            let mut frontend = frontend.borrow_mut();
+            frontend.conn_ended(id, false);
             if refused {
-                front.refused(address);
+                frontend.refused(address);
             }
         }
-        Err(_) => front.borrow_mut().conn_ended(id, false),
+        Err(_) => frontend.borrow_mut().conn_ended(id, false),
     }
 }
 
-impl Front {
+impl SipFrontend {
     /// Starts the dials that sending has asked for.
     pub(super) fn start_dials(&mut self) {
         for id in std::mem::take(&mut self.transport.dials) {
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -102,7 +102,7 @@
         assert_eq!(caller.until_closed(), "", "nothing more, and no reset");
     }
     assert!(program.ended().success());
-    assert!(!program.rest_of_log().contains("guard"));
+    assert!(!program.rest_of_log().contains("invariant"));
 }
 
 /// What was said before on one connection is read before what is asked now on another.
--- a/tests/limits_properties.rs
+++ b/tests/limits_properties.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use cobaltspool::gateway::{AttemptId, Command, Gateway, Input, SetUp};
+use cobaltspool::gateway::{AttemptId, Command, Gateway, Input, SetupRequest};
 use cobaltspool::limits::file::Section;
 use cobaltspool::limits::{Asked, Ceilings, ClassInfo, Limits, Live, Plan};
 use cobaltspool::ops::{Path, Weight};
@@ -175,7 +175,7 @@
         self.gateway.handle(self.now, input, &mut out);
         for command in out {
             match command {
-                Command::Send { attempt, server, left, .. } => {
+                Command::SendAttempt { attempt, server, time_left: left, .. } => {
                     let call = self.calls.get_mut(&attempt.call).unwrap();
                     prop_assert!(!call.answered && call.out.is_none(), "two attempts out: {call:?}");
                     prop_assert!(
@@ -191,19 +191,21 @@
                     }
                     call.out = Some(attempt);
                 }
-                Command::GiveUp { attempt, .. } => {
+                Command::CancelAttempt { attempt, .. } => {
                     let call = self.calls.get_mut(&attempt.call).unwrap();
                     call.out = None;
                     call.not_before = call.not_before.max(self.now + 500 * MS);
                 }
-                Command::Answer { call, .. } => self.finally(call, true)?,
-                Command::Refuse { call, .. } | Command::Fail { call } => self.finally(call, false)?,
-                Command::Warn(text) => prop_assert!(false, "a guard fired: {text}"),
-                Command::Release { .. }
-                | Command::Over { .. }
-                | Command::Probe(_)
+                Command::Accept { call, .. } => self.finally(call, true)?,
+                Command::Reject { call, .. } | Command::Fail { call } => self.finally(call, false)?,
+                Command::ReportViolation(violation) => {
+                    prop_assert!(false, "an invariant does not hold: {violation}")
+                }
+                Command::ReleaseAtServer { .. }
+                | Command::ReleaseToCaller { .. }
+                | Command::CheckHealth(_)
                 | Command::CloseIdle(_)
-                | Command::Note(_) => {}
+                | Command::Log(_) => {}
             }
         }
         Ok(())
@@ -220,7 +222,7 @@
 
     fn pass(&mut self, time: Micros) -> Result<(), TestCaseError> {
         let end = self.now + time;
-        while let Some(due) = self.gateway.next_due().filter(|due| *due <= end) {
+        while let Some(due) = self.gateway.next_deadline().filter(|due| *due <= end) {
             self.now = self.now.max(due);
             self.feed(Input::Tick)?;
         }
@@ -244,7 +246,11 @@
                 ServerStatus::Up
             },
         };
-        Input::List { told: self.now, scope: EndpointListScope::Complete, entries: vec![entry(0), entry(1)] }
+        Input::EndpointList {
+            notified_at: self.now,
+            scope: EndpointListScope::Complete,
+            entries: vec![entry(0), entry(1)],
+        }
     }
 
     fn take(&mut self, n: u64, class: usize, number: usize, left: u64) -> Result<(), TestCaseError> {
@@ -264,15 +270,15 @@
             stands: false,
         };
         self.calls.insert(call, known);
-        self.feed(Input::SetUp(SetUp {
+        self.feed(Input::SetupRequested(SetupRequest {
             call,
-            name: n.to_string().into(),
+            wire_id: n.to_string().into(),
             class,
             number: Number(n),
-            dialled: number.into(),
+            dialled_number: number.into(),
             first_choice: PoolId(0),
-            left,
-            again: false,
+            time_left: left,
+            is_redial: false,
             description: Bytes::from_static(b"offer"),
         }))
     }
@@ -288,7 +294,7 @@
             call.not_before = call.not_before.max(self.now + 500 * MS);
         }
         let (cause, load) = (Cause::Unspecified, LoadReport::default());
-        self.feed(Input::Ended { attempt, outcome, cause, load })
+        self.feed(Input::AttemptEnded { attempt, outcome, cause, load })
     }
 }
 
@@ -313,7 +319,7 @@
         let names: Vec<String> = CLASSES.iter().map(|c| c.to_string()).collect();
         let live = Live::of(Some(Rc::new(plan)), &settings(), &names, 7);
         let mut world = World {
-            gateway: Gateway::with(settings(), live, 7),
+            gateway: Gateway::with_limits(settings(), live, 7),
             now: 1_000 * SEC,
             calls: BTreeMap::new(),
             drained: BTreeMap::new(),
@@ -327,7 +333,7 @@
                 Do::Answer(n) => {
                     if let Some(attempt) = world.nth_out(n) {
                         world.calls.get_mut(&attempt.call).unwrap().out = None;
-                        world.feed(Input::Stands { attempt, description: Bytes::from_static(b"answer") })?;
+                        world.feed(Input::Established { attempt, description: Bytes::from_static(b"answer") })?;
                     }
                 }
                 Do::End(n, how) => {
@@ -338,7 +344,7 @@
                 Do::GiveUp(n) => {
                     if let Some(attempt) = world.nth_out(n) {
                         world.calls.get_mut(&attempt.call).unwrap().answered = true; // nothing is owed
-                        world.feed(Input::GivenUp(attempt.call))?;
+                        world.feed(Input::SetupCancelled(attempt.call))?;
                     }
                 }
                 Do::Pass(ms) => world.pass(ms * MS)?,
@@ -358,7 +364,7 @@
         for call in world.calls.values() {
             prop_assert!(call.answered, "no final answer: {call:?}");
         }
-        prop_assert_eq!(world.gateway.open_calls(), 0);
+        prop_assert_eq!(world.gateway.pending_calls(), 0);
     }
 }
 
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -130,12 +130,20 @@
 
 /// A release for which no caller comes is in the log, with what happened to its call.
 #[test]
-fn a_release_that_nobody_hears_leaves_its_story_in_the_log() {
+fn unconfirmed_release_leaves_its_steps_in_the_log() {
     let (_server, mut program, _gate, mut far, caller) = one_standing();
     drop(caller);
     far.finish(&json!(TAG), 16, json!({}));
     let told = program.logged("no caller came to hear its end");
-    for step in [TAG, "CameOn(", "Sent(0", "Stands(0)", "Answered", "Over(Completed)", "Untold"] {
+    for step in [
+        TAG,
+        "RequestedOn(",
+        "AttemptSent(0",
+        "Established(0)",
+        "Accepted",
+        "ReleasedToCaller(Completed)",
+        "ReleaseExpired",
+    ] {
         assert!(told.contains(step), "{step} is not in {told}");
     }
 }
@@ -568,7 +576,7 @@
     late.finish(&json!("00000000000000a3"), 16, json!({}));
     late.expect("FINISHED");
     assert!(program.ended().success());
-    assert!(!program.rest_of_log().contains("guard"));
+    assert!(!program.rest_of_log().contains("invariant"));
 }
 
 /// On SIGHUP the resolver that the file names is asked, and the numbers go on; a bad file changes nothing. A
--- a/tests/sip.rs
+++ b/tests/sip.rs
@@ -436,7 +436,7 @@
     site.server.expect("BYE");
     site.caller.expect("BYE");
     assert!(site.program.ended().success());
-    assert!(!site.program.rest_of_log().contains("guard"));
+    assert!(!site.program.rest_of_log().contains("invariant"));
 }
 
 /// Repeats of an INVITE, its answer, and SIGTERM are all there before the program may run: one INVITE went out, the call gets its
@@ -459,7 +459,7 @@
     site.server.expect("BYE");
     assert!(site.program.ended().success());
     assert_eq!(site.server.count("INVITE"), 1);
-    assert!(!site.program.rest_of_log().contains("guard"));
+    assert!(!site.program.rest_of_log().contains("invariant"));
 }
 
 /// The caller's time ends and the server's 200 is there in the same turn: one final answer, and what stands at the server is ended.
