--- a/crates/fleet-sim/src/quorum.rs
+++ b/crates/fleet-sim/src/quorum.rs
@@ -5,12 +5,13 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, VecDeque};
 
 use cobaltspool_fleet::Micros;
-use cobaltspool_fleet::disk::{self, Image};
 use cobaltspool_fleet::member::MemberId;
-use cobaltspool_fleet::quorum::machine::{Machine, Replica};
+use cobaltspool_fleet::quorum::machine::{Replica, StateMachine};
 use cobaltspool_fleet::quorum::{
-    Entry, Event, Held, Letter, Order, Out, Record, Role, Rules, Setup, Standing, Voter,
+    Action, Command, Config, Entry, Event, LogRecord, Message, RecoveredState, Role, SafetyChecks, Voter,
+    VoterStatus,
 };
+use cobaltspool_fleet::wal::{self, WalContents};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
@@ -18,7 +19,7 @@
 use crate::measure::chance;
 
 /// The election timeout in every world.
-pub const ELECTION: Micros = 1_000_000;
+pub const ELECTION_TIMEOUT: Micros = 1_000_000;
 /// Once nothing is amiss, a new order is committed everywhere within so many election timeouts.
 const SETTLED: u64 = 40;
 /// After so many entries a voter takes a snapshot in these worlds: often, so that snapshots are part of every schedule.
@@ -26,9 +27,9 @@
 
 /// A machine that remembers how often each order was carried out.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct ClassCounters(BTreeMap<Vec<u8>, u64>);
+pub struct Counts(BTreeMap<Vec<u8>, u64>);
 
-impl Machine for ClassCounters {
+impl StateMachine for Counts {
     type Answer = u64;
 
     fn apply(&mut self, _: u64, body: &[u8]) -> u64 {
@@ -42,8 +43,8 @@
 #[derive(Clone, Debug, Default)]
 struct Disk {
     file: Vec<u8>,
-    image: Image,
-    queue: VecDeque<(u64, Vec<u8>, Vec<Record>)>,
+    contents: WalContents,
+    queue: VecDeque<(u64, Vec<u8>, Vec<LogRecord>)>,
     /// Where each write that was said to be kept ended: a lying one goes back to one of these.
     ends: Vec<usize>,
     /// An older copy of the file.
@@ -53,9 +54,9 @@
 struct Node {
     id: MemberId,
     voter: Option<Voter>,
-    replica: Replica<ClassCounters>,
+    replica: Replica<Counts>,
     stopped: bool,
-    inbox: VecDeque<Letter>,
+    inbox: VecDeque<Message>,
     disk: Disk,
     runs: u64,
     /// What its disk forgot may still count: it was damaged, and its voter was not in again since.
@@ -64,7 +65,7 @@
 
 enum What {
     Tick(u64),
-    Letter(Letter),
+    Message(Message),
     Written(u64, u64),
 }
 
@@ -78,7 +79,7 @@
     delay: (Micros, Micros),
     /// The least and the most that a write takes.
     pub write: (Micros, Micros),
-    rules: Rules,
+    checks: SafetyChecks,
     rng: Pcg64Mcg,
     queue: BinaryHeap<Reverse<(Micros, u64, usize)>>,
     waiting: HashMap<u64, What>,
@@ -98,7 +99,7 @@
 
 impl World {
     /// So many voters with empty disks.
-    pub fn new(seed: u64, size: usize, rules: Rules) -> World {
+    pub fn new(seed: u64, size: usize, checks: SafetyChecks) -> World {
         let mut world = World {
             now: 1,
             nodes: Vec::new(),
@@ -106,7 +107,7 @@
             loss: 0.0,
             delay: (200, 2_000),
             write: (100, 3_000),
-            rules,
+            checks,
             rng: Pcg64Mcg::seed_from_u64(seed),
             queue: BinaryHeap::new(),
             waiting: HashMap::new(),
@@ -152,18 +153,25 @@
         let (nonce, seed, now) = (self.rng.next_u64() | 1, self.rng.next_u64(), self.now);
         let voters: Vec<MemberId> = self.nodes.iter().map(|n| n.id.clone()).collect();
         let voters = if voters.len() <= n { (0..=n).map(id).collect() } else { voters };
-        let rules = self.rules;
+        let checks = self.checks;
         let node = &mut self.nodes[n];
-        let held = disk::read(&node.disk.file).map_or(Held::default(), |(held, _)| held);
-        node.disk.image = Image { hard: held.hard.clone(), log: held.log.clone() };
-        node.disk.file = node.disk.image.file();
+        let held = wal::recover(&node.disk.file).map_or(RecoveredState::default(), |(held, _)| held);
+        node.disk.contents = WalContents { hard_state: held.hard_state.clone(), log: held.log.clone() };
+        node.disk.file = node.disk.contents.encode();
         node.disk.queue.clear();
         node.replica = Replica::default();
         node.inbox.clear();
         node.stopped = false;
         node.runs += 1;
         let runs = node.runs;
-        let set = Setup { id: node.id.clone(), voters, election: ELECTION, nonce, trust_disk: false, rules };
+        let set = Config {
+            id: node.id.clone(),
+            voters,
+            election_timeout: ELECTION_TIMEOUT,
+            nonce,
+            trust_disk: false,
+            checks,
+        };
         let mut out = Vec::new();
         node.voter = Some(Voter::new(now, set, held, seed, &mut out));
         self.carry_out(n, out);
@@ -183,11 +191,11 @@
         node.disk.queue.clear();
     }
 
-    fn carry_out(&mut self, n: usize, out: Vec<Out>) {
+    fn carry_out(&mut self, n: usize, out: Vec<Action>) {
         for out in out {
             match out {
-                Out::Write(number, records) => {
-                    let bytes = records.iter().flat_map(disk::encode).collect();
+                Action::Write { number, records } => {
+                    let bytes = records.iter().flat_map(wal::encode).collect();
                     let (least, most) = self.write;
                     let wait = least + self.draw(most.saturating_sub(least) + 1);
                     let node = &mut self.nodes[n];
@@ -195,14 +203,16 @@
                     let runs = node.runs;
                     self.push(self.now + wait, n, What::Written(runs, number));
                 }
-                Out::Send(letter) => self.send(n, letter),
-                Out::Apply(index, entry) => self.apply(n, index, entry),
-                Out::Restore(index, state) => match Replica::restored(&state) {
+                Action::Send(message) => self.send(n, message),
+                Action::Apply { index, entry } => self.apply(n, index, entry),
+                Action::Restore { index, state } => match Replica::from_state(&state) {
                     Some(replica) if replica.applied == index => self.nodes[n].replica = replica,
                     _ => self.break_off(format!("a snapshot of {index} does not read")),
                 },
-                Out::Event(event) => self.happened(n, event),
-                Out::Compact | Out::Confirmed(_) | Out::Unconfirmed(_) => {}
+                Action::Notify(event) => self.happened(n, event),
+                Action::Compact
+                | Action::LeadershipConfirmed { .. }
+                | Action::LeadershipUnconfirmed { .. } => {}
             }
         }
     }
@@ -213,14 +223,18 @@
 
     fn happened(&mut self, n: usize, event: Event) {
         match &event {
-            Event::Leads(term) => {
+            Event::BecameLeader { term } => {
                 let (id, runs) = (self.nodes[n].id.clone(), self.nodes[n].runs);
                 let first = self.leaders.entry(*term).or_insert((id.clone(), runs)).clone();
                 if first != (id.clone(), runs) {
                     self.break_off(format!("{id} and {} both led in term {term}", first.0));
                 }
             }
-            Event::Entered | Event::Follows(..) | Event::StepsDown | Event::Forgot(..) | Event::Twin(_) => {}
+            Event::Rejoined
+            | Event::FollowsLeader { .. }
+            | Event::SteppedDown
+            | Event::StateLost { .. }
+            | Event::DuplicateId(_) => {}
         }
         self.events.push((self.now, n, event));
     }
@@ -254,20 +268,20 @@
         self.cuts.iter().any(|(one, other)| one.contains(&from) && other.contains(&to))
     }
 
-    fn send(&mut self, from: usize, letter: Letter) {
-        let to = self.nodes.iter().position(|n| n.id == letter.to);
+    fn send(&mut self, from: usize, message: Message) {
+        let to = self.nodes.iter().position(|n| n.id == message.to);
         let Some(to) = to.filter(|to| !self.cut(from, *to)) else { return };
         let (least, most) = self.delay;
         let copies = if chance(&mut self.rng, self.loss / 4.0) { 2 } else { 1 };
         for _ in 0..copies {
             if !chance(&mut self.rng, self.loss) {
                 let at = self.now + least + self.draw(most - least + 1);
-                self.push(at, to, What::Letter(letter.clone()));
+                self.push(at, to, What::Message(message.clone()));
             }
         }
     }
 
-    fn with(&mut self, n: usize, what: impl FnOnce(&mut Voter, Micros, &mut Vec<Out>)) {
+    fn with(&mut self, n: usize, what: impl FnOnce(&mut Voter, Micros, &mut Vec<Action>)) {
         let (mut out, now) = (Vec::new(), self.now);
         if let Some(voter) = self.nodes[n].voter.as_mut() {
             what(voter, now, &mut out);
@@ -284,25 +298,25 @@
             What::Tick(runs) if node.stopped || runs != node.runs => {}
             What::Tick(runs) => {
                 self.with(n, |voter, now, out| voter.tick(now, out));
-                let due = self.nodes[n].voter.as_ref().map_or(self.now, |v| v.next_due(self.now));
+                let due = self.nodes[n].voter.as_ref().map_or(self.now, |v| v.next_deadline(self.now));
                 self.push(due.max(self.now + 10_000), n, What::Tick(runs));
             }
-            What::Letter(letter) if node.stopped => {
+            What::Message(message) if node.stopped => {
                 if node.inbox.len() < 100 {
-                    node.inbox.push_back(letter);
+                    node.inbox.push_back(message);
                 }
             }
-            What::Letter(letter) => self.with(n, |voter, now, out| voter.take(now, letter, out)),
+            What::Message(message) => self.with(n, |voter, now, out| voter.step(now, message, out)),
             What::Written(runs, _) if runs != node.runs => {}
             What::Written(_, number) => {
                 while let Some((done, bytes, records)) = node.disk.queue.pop_front_if_done(number) {
-                    let shorter = records.iter().any(|r| matches!(r, Record::Snapshot { .. }));
+                    let shorter = records.iter().any(|r| matches!(r, LogRecord::Snapshot { .. }));
                     records.into_iter().for_each(|r| {
-                        node.disk.image.take(r);
+                        node.disk.contents.apply(r);
                     });
                     // A snapshot is written with all that stays into a new file that takes the old one's place.
                     if shorter {
-                        (node.disk.file, node.disk.ends) = (node.disk.image.file(), Vec::new());
+                        (node.disk.file, node.disk.ends) = (node.disk.contents.encode(), Vec::new());
                     } else {
                         node.disk.file.extend(bytes);
                     }
@@ -312,7 +326,7 @@
                     }
                 }
                 if !node.stopped {
-                    self.with(n, |voter, now, out| voter.written(now, number, out));
+                    self.with(n, |voter, now, out| voter.handle_written(now, number, out));
                 } else {
                     // It hears of it when it goes on.
                     let runs = node.runs;
@@ -342,8 +356,8 @@
     pub fn stop(&mut self, n: usize, stopped: bool) {
         self.nodes[n].stopped = stopped;
         if !stopped && self.nodes[n].voter.is_some() {
-            for letter in std::mem::take(&mut self.nodes[n].inbox) {
-                self.with(n, |voter, now, out| voter.take(now, letter, out));
+            for message in std::mem::take(&mut self.nodes[n].inbox) {
+                self.with(n, |voter, now, out| voter.step(now, message, out));
             }
             let runs = self.nodes[n].runs;
             self.push(self.now, n, What::Tick(runs));
@@ -364,9 +378,9 @@
         let Some(n) = self.leader() else { return };
         self.orders += 1;
         let seq = self.orders - u64::from(self.orders > 1 && chance(&mut self.rng, 0.1));
-        let order = Order { session: 7, seq, body: seq.to_le_bytes().to_vec() };
+        let order = Command { session: 7, seq, body: seq.to_le_bytes().to_vec() };
         let mut place = None;
-        self.with(n, |voter, _, out| place = voter.order(order, out).ok());
+        self.with(n, |voter, _, out| place = voter.propose(order, out).ok());
         if let Some(place) = place {
             self.open.insert(place.index, (self.now, seq));
         }
@@ -389,7 +403,7 @@
     fn damage(&mut self, n: usize) -> Option<String> {
         for node in &mut self.nodes {
             // It is whole again once it has caught up; before that one more would make too many.
-            node.forgetful &= node.voter.as_ref().is_none_or(|v| v.standing() != Standing::Voting);
+            node.forgetful &= node.voter.as_ref().is_none_or(|v| v.status() != VoterStatus::Voting);
         }
         let forgetful = self.nodes.iter().filter(|n| n.forgetful).count();
         if !self.nodes[n].forgetful && forgetful >= self.most_forgetful() {
@@ -450,7 +464,7 @@
             }
             6 => {
                 self.stop(n, true);
-                let time = self.draw(6 * ELECTION);
+                let time = self.draw(6 * ELECTION_TIMEOUT);
                 self.serve(time, 60_000);
                 self.stop(n, false);
                 format!("n{n} stopped for {:.1} s", time as f64 / 1e6)
@@ -515,17 +529,19 @@
     pub fn settles(&mut self) -> Result<f64, String> {
         let start = self.now;
         let before = self.committed.keys().next_back().copied().unwrap_or(0);
-        while self.now - start < SETTLED * ELECTION {
+        while self.now - start < SETTLED * ELECTION_TIMEOUT {
             self.order();
-            self.run(ELECTION / 4);
+            self.run(ELECTION_TIMEOUT / 4);
             if let Some(wrong) = &self.wrong {
                 return Err(wrong.clone());
             }
             let all = |n: &Node| {
-                n.voter.as_ref().is_some_and(|v| v.standing() == Standing::Voting && v.indices().0 > before)
+                n.voter
+                    .as_ref()
+                    .is_some_and(|v| v.status() == VoterStatus::Voting && v.commit_index() > before)
             };
             if self.nodes.iter().all(all) {
-                return Ok((self.now - start) as f64 / ELECTION as f64);
+                return Ok((self.now - start) as f64 / ELECTION_TIMEOUT as f64);
             }
         }
         let all: Vec<String> = self.nodes.iter().map(|n| format!("{:?}", n.voter)).collect();
@@ -538,11 +554,11 @@
 }
 
 trait Done {
-    fn pop_front_if_done(&mut self, number: u64) -> Option<(u64, Vec<u8>, Vec<Record>)>;
+    fn pop_front_if_done(&mut self, number: u64) -> Option<(u64, Vec<u8>, Vec<LogRecord>)>;
 }
 
-impl Done for VecDeque<(u64, Vec<u8>, Vec<Record>)> {
-    fn pop_front_if_done(&mut self, number: u64) -> Option<(u64, Vec<u8>, Vec<Record>)> {
+impl Done for VecDeque<(u64, Vec<u8>, Vec<LogRecord>)> {
+    fn pop_front_if_done(&mut self, number: u64) -> Option<(u64, Vec<u8>, Vec<LogRecord>)> {
         if self.front().is_some_and(|(n, ..)| *n <= number) { self.pop_front() } else { None }
     }
 }
@@ -561,16 +577,16 @@
 }
 
 /// Plays one schedule with 3, 5 or 7 voters.
-pub fn play(seed: u64, rules: Rules) -> Outcome {
+pub fn play(seed: u64, checks: SafetyChecks) -> Outcome {
     let size = [3, 3, 5, 5, 7][(seed % 5) as usize];
-    let mut world = World::new(seed, size, rules);
+    let mut world = World::new(seed, size, checks);
     let mut steps = vec![format!("{size} voters")];
-    world.serve(3 * ELECTION, 60_000);
+    world.serve(3 * ELECTION_TIMEOUT, 60_000);
     for _ in 0..3 + world.draw(7) {
         let at = world.now as f64 / 1e6;
         let step = world.fault();
         steps.push(format!("{at:.1}: {step}"));
-        let wait = world.draw(5 * ELECTION);
+        let wait = world.draw(5 * ELECTION_TIMEOUT);
         world.serve(wait, 60_000);
         if world.draw(3) == 0 {
             world.heal();
--- a/crates/fleet-sim/src/world.rs
+++ b/crates/fleet-sim/src/world.rs
@@ -32,7 +32,7 @@
     /// It said that it goes.
     pub left: bool,
     inbox: VecDeque<(Frame, SocketAddr)>,
-    /// ClassCounters starts and continuations: ticks of an earlier one are nobody's.
+    /// Counts starts and continuations: ticks of an earlier one are nobody's.
     runs: u64,
 }
 
--- a/crates/fleet-sim/tests/model.rs
+++ b/crates/fleet-sim/tests/model.rs
@@ -1,10 +1,12 @@
-//! Every order of letters, campaigns and a forgetful disk, up to a depth: three voters from the moment that one leads. The disk is
+//! Every order of messages, campaigns and a forgetful disk, up to a depth: three voters from the moment that one leads. The disk is
 //! quick here, and time stands still: what waits for either is the simulation's.
 
 use std::collections::BTreeMap;
 
 use cobaltspool_fleet::member::MemberId;
-use cobaltspool_fleet::quorum::{Entry, Event, Held, Letter, Order, Out, Role, Rules, Setup, Voter};
+use cobaltspool_fleet::quorum::{
+    Action, Command, Config, Entry, Event, Message, RecoveredState, Role, SafetyChecks, Voter,
+};
 use stateright::{Checker, Model, Property};
 
 const VOTERS: usize = 3;
@@ -13,7 +15,7 @@
 struct World {
     voters: Vec<Voter>,
     /// Letters on their way, in no order.
-    letters: Vec<Letter>,
+    messages: Vec<Message>,
     committed: BTreeMap<u64, Entry>,
     leaders: BTreeMap<u64, usize>,
     orders: usize,
@@ -26,62 +28,65 @@
 enum Step {
     Deliver(usize),
     Campaign(usize),
-    Order(usize),
+    Command(usize),
     Forget(usize),
 }
 
 struct Play {
-    rules: Rules,
+    checks: SafetyChecks,
 }
 
 fn id(n: usize) -> MemberId {
     MemberId::new(&format!("n{n}")).expect("an id")
 }
 
-fn start(n: usize, nonce: u64, rules: Rules, held: Held, out: &mut Vec<Out>) -> Voter {
+fn start(n: usize, nonce: u64, checks: SafetyChecks, held: RecoveredState, out: &mut Vec<Action>) -> Voter {
     let voters = (0..VOTERS).map(id).collect();
-    let set = Setup { id: id(n), voters, election: 1_000, nonce, trust_disk: false, rules };
+    let set = Config { id: id(n), voters, election_timeout: 1_000, nonce, trust_disk: false, checks };
     Voter::new(0, set, held, 1, out)
 }
 
 impl World {
     /// Carries out what a voter wants; its writes are done at once.
-    fn carry_out(&mut self, n: usize, out: Vec<Out>) {
+    fn carry_out(&mut self, n: usize, out: Vec<Action>) {
         let mut out = std::collections::VecDeque::from(out);
         while let Some(next) = out.pop_front() {
             match next {
-                Out::Write(number, _) => {
+                Action::Write { number, records: _ } => {
                     let mut more = Vec::new();
-                    self.voters[n].written(0, number, &mut more);
+                    self.voters[n].handle_written(0, number, &mut more);
                     out.extend(more);
                 }
                 // One on its way is as good as two of the same.
-                Out::Send(letter) if self.letters.contains(&letter) => {}
-                Out::Send(letter) => self.letters.push(letter),
-                Out::Apply(index, entry) => {
+                Action::Send(message) if self.messages.contains(&message) => {}
+                Action::Send(message) => self.messages.push(message),
+                Action::Apply { index, entry } => {
                     let first = self.committed.entry(index).or_insert_with(|| entry.clone());
                     self.wrong |= *first != entry;
                 }
-                Out::Event(Event::Leads(term)) => {
+                Action::Notify(Event::BecameLeader { term }) => {
                     self.wrong |= *self.leaders.entry(term).or_insert(n) != n;
                 }
-                Out::Restore(..) | Out::Confirmed(_) | Out::Unconfirmed(_) | Out::Compact | Out::Event(_) => {
-                }
+                Action::Restore { .. }
+                | Action::LeadershipConfirmed { .. }
+                | Action::LeadershipUnconfirmed { .. }
+                | Action::Compact
+                | Action::Notify(_) => {}
             }
         }
-        self.letters.sort_by_cached_key(|letter| format!("{letter:?}"));
+        self.messages.sort_by_cached_key(|message| format!("{message:?}"));
     }
 
-    fn with(&mut self, n: usize, what: impl FnOnce(&mut Voter, &mut Vec<Out>)) {
+    fn with(&mut self, n: usize, what: impl FnOnce(&mut Voter, &mut Vec<Action>)) {
         let mut out = Vec::new();
         what(&mut self.voters[n], &mut out);
         self.carry_out(n, out);
     }
 
     fn deliver(&mut self, at: usize) {
-        let letter = self.letters.remove(at);
-        let to = (0..VOTERS).find(|n| id(*n) == letter.to).expect("a voter");
-        self.with(to, |voter, out| voter.take(0, letter, out));
+        let message = self.messages.remove(at);
+        let to = (0..VOTERS).find(|n| id(*n) == message.to).expect("a voter");
+        self.with(to, |voter, out| voter.step(0, message, out));
     }
 }
 
@@ -93,7 +98,7 @@
     fn init_states(&self) -> Vec<World> {
         let mut world = World {
             voters: Vec::new(),
-            letters: Vec::new(),
+            messages: Vec::new(),
             committed: BTreeMap::new(),
             leaders: BTreeMap::new(),
             orders: 0,
@@ -104,17 +109,17 @@
         let mut outs = Vec::new();
         for n in 0..VOTERS {
             let mut out = Vec::new();
-            world.voters.push(start(n, 1, self.rules, Held::default(), &mut out));
+            world.voters.push(start(n, 1, self.checks, RecoveredState::default(), &mut out));
             outs.push(out);
         }
         for (n, out) in outs.into_iter().enumerate() {
             world.carry_out(n, out);
         }
-        while !world.letters.is_empty() {
+        while !world.messages.is_empty() {
             world.deliver(0);
         }
         world.with(0, |voter, out| voter.campaign(0, out));
-        while !world.letters.is_empty() {
+        while !world.messages.is_empty() {
             world.deliver(0);
         }
         assert_eq!(world.voters[0].role(), Role::Leader);
@@ -122,10 +127,10 @@
     }
 
     fn actions(&self, world: &World, steps: &mut Vec<Step>) {
-        steps.extend((0..world.letters.len()).map(Step::Deliver));
+        steps.extend((0..world.messages.len()).map(Step::Deliver));
         for (n, voter) in world.voters.iter().enumerate() {
             if voter.role() == Role::Leader && world.orders < 1 {
-                steps.push(Step::Order(n));
+                steps.push(Step::Command(n));
             }
             if voter.role() != Role::Leader && world.campaigns < 1 {
                 steps.push(Step::Campaign(n));
@@ -144,17 +149,17 @@
                 next.campaigns += 1;
                 next.with(n, |voter, out| voter.campaign(0, out));
             }
-            Step::Order(n) => {
+            Step::Command(n) => {
                 next.orders += 1;
-                let order = Order { session: n as u64, seq: 1, body: vec![n as u8] };
+                let order = Command { session: n as u64, seq: 1, body: vec![n as u8] };
                 next.with(n, |voter, out| {
-                    let _ = voter.order(order, out);
+                    let _ = voter.propose(order, out);
                 });
             }
             Step::Forget(n) => {
                 next.forgot = Some(n);
                 let mut out = Vec::new();
-                next.voters[n] = start(n, 2, self.rules, Held::default(), &mut out);
+                next.voters[n] = start(n, 2, self.checks, RecoveredState::default(), &mut out);
                 next.carry_out(n, out);
             }
         }
@@ -168,14 +173,14 @@
     }
 
     fn within_boundary(&self, world: &World) -> bool {
-        world.letters.len() <= 12
+        world.messages.len() <= 12
     }
 }
 
 /// States that were seen, and whether one was wrong.
-fn walk(rules: Rules, depth: usize) -> (usize, bool) {
-    let rules = Rules { pre_vote: false, check_quorum: false, ..rules };
-    let walked = Play { rules }.checker().threads(4).target_max_depth(depth).spawn_bfs().join();
+fn walk(checks: SafetyChecks, depth: usize) -> (usize, bool) {
+    let checks = SafetyChecks { pre_vote: false, check_quorum: false, ..checks };
+    let walked = Play { checks }.checker().threads(4).target_max_depth(depth).spawn_bfs().join();
     let wrong = walked.discoveries().into_values().next();
     if let Some(path) = &wrong {
         println!("{:?}", path.clone().into_actions());
@@ -185,7 +190,7 @@
 
 #[test]
 fn no_order_of_events_breaks_the_log() {
-    let (states, wrong) = walk(Rules::default(), depth());
+    let (states, wrong) = walk(SafetyChecks::default(), depth());
     println!("{states} states to depth {}", depth());
     assert!(!wrong && states > 1_000, "{states} states");
 }
@@ -193,14 +198,14 @@
 /// The walk is seen to fail: one that forgot and votes at once loses an order, or makes two leaders.
 #[test]
 fn without_reentry_an_order_of_events_breaks_it() {
-    assert!(walk(Rules { reentry: false, ..Rules::default() }, 12).1);
+    assert!(walk(SafetyChecks { rejoin: false, ..SafetyChecks::default() }, 12).1);
 }
 
 /// The guard that only a race needs: what an earlier life promised counts no more.
 #[test]
 #[ignore = "a walk of minutes"]
 fn without_lives_an_order_of_events_breaks_it() {
-    let (states, wrong) = walk(Rules { lives: false, ..Rules::default() }, depth());
+    let (states, wrong) = walk(SafetyChecks { incarnations: false, ..SafetyChecks::default() }, depth());
     println!("{states} states, {wrong}");
 }
 
--- a/crates/fleet-sim/tests/quorum.rs
+++ b/crates/fleet-sim/tests/quorum.rs
@@ -1,7 +1,7 @@
 //! The log under drawn faults, of disks too, and with each guard taken out.
 
-use cobaltspool_fleet::quorum::{Event, Rules};
-use cobaltspool_fleet_sim::quorum::{ELECTION, World, play};
+use cobaltspool_fleet::quorum::{Event, SafetyChecks};
+use cobaltspool_fleet_sim::quorum::{ELECTION_TIMEOUT, World, play};
 use rstest::rstest;
 
 /// Schedules drawn by seed; a wrong one is told with its seed and steps. More of them: `cargo run --release -p
@@ -9,7 +9,7 @@
 #[test]
 fn drawn_schedules_keep_what_was_acknowledged() {
     for seed in 0..400 {
-        let played = play(seed, Rules::default());
+        let played = play(seed, SafetyChecks::default());
         assert!(played.settled.is_ok(), "{played:#?}");
         assert!(played.committed > 10, "{played:#?}");
     }
@@ -18,11 +18,11 @@
 /// The checker is seen to fail: where a start votes at once, one of these schedules breaks.
 #[test]
 fn without_reentry_a_schedule_breaks() {
-    let rules = Rules { reentry: false, ..Rules::default() };
-    let broken = (0..400).map(|seed| play(seed, rules)).find(|p| p.settled.is_err());
+    let checks = SafetyChecks { rejoin: false, ..SafetyChecks::default() };
+    let broken = (0..400).map(|seed| play(seed, checks)).find(|p| p.settled.is_err());
     let broken = broken.expect("no schedule breaks without the guard");
     println!("{broken:#?}");
-    assert!(play(broken.seed, Rules::default()).settled.is_ok());
+    assert!(play(broken.seed, SafetyChecks::default()).settled.is_ok());
 }
 
 /// The power fails everywhere at once while writes take their time: what was acknowledged was on a majority's disks by then.
@@ -31,10 +31,11 @@
 #[case::it_does_not(false)]
 fn all_are_killed_at_once(#[case] disk_first: bool) {
     let lost = (0..10).filter(|seed| {
-        let mut world = World::new(*seed, 3, Rules { disk_first, ..Rules::default() });
-        world.serve(5 * ELECTION, 50_000);
+        let mut world =
+            World::new(*seed, 3, SafetyChecks { durable_before_send: disk_first, ..SafetyChecks::default() });
+        world.serve(5 * ELECTION_TIMEOUT, 50_000);
         world.write = (200_000, 400_000);
-        world.serve(5 * ELECTION, 50_000);
+        world.serve(5 * ELECTION_TIMEOUT, 50_000);
         (0..3).for_each(|n| world.kill(n));
         world.heal();
         world.settles().is_err()
@@ -49,22 +50,22 @@
 fn one_that_comes_back_unseats_nobody(#[case] pre_vote: bool) {
     let mut unseated = 0;
     for seed in 0..20 {
-        let mut world = World::new(seed, 5, Rules { pre_vote, ..Rules::default() });
-        world.serve(5 * ELECTION, 50_000);
+        let mut world = World::new(seed, 5, SafetyChecks { pre_vote, ..SafetyChecks::default() });
+        world.serve(5 * ELECTION_TIMEOUT, 50_000);
         let leader = world.leader().expect("a leader");
         let other = (leader + 1) % 5;
         world.cut_off(other, true);
-        world.serve(6 * ELECTION, 50_000);
+        world.serve(6 * ELECTION_TIMEOUT, 50_000);
         world.heal();
-        world.serve(4 * ELECTION, 50_000);
+        world.serve(4 * ELECTION_TIMEOUT, 50_000);
         assert_eq!(world.wrong, None);
-        unseated += world.events.iter().filter(|(_, _, e)| *e == Event::StepsDown).count();
+        unseated += world.events.iter().filter(|(_, _, e)| *e == Event::SteppedDown).count();
     }
     assert_eq!(unseated == 0, pre_vote, "{unseated} times");
 }
 
 #[test]
 fn a_schedule_plays_the_same_each_time() {
-    let (one, two) = (play(41, Rules::default()), play(41, Rules::default()));
+    let (one, two) = (play(41, SafetyChecks::default()), play(41, SafetyChecks::default()));
     assert_eq!((one.steps, one.settled, one.committed), (two.steps, two.settled, two.committed));
 }
--- a/crates/fleet-rig/src/witness.rs
+++ b/crates/fleet-testkit/src/effect_recorder.rs
@@ -1,15 +1,15 @@
-//! Receives effects of owners and carries them out behind a fence, as a setup server or a peer would; and records them.
+//! Receives owners' effects, carries them out behind a fencing guard as a setup server or a peer would, and records them.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use cobaltspool_fleet::owner::Work;
-use cobaltspool_fleet::owner::fence::{Effect, Fence, Held};
+use cobaltspool_fleet::lease::ResourceName;
+use cobaltspool_fleet::lease::fencing::{Effect, FencingError, FencingGuard};
 
 /// An effect that came.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Came {
+pub struct ReceivedEffect {
     /// When.
     pub at: Instant,
     /// For which item.
@@ -23,22 +23,22 @@
 }
 
 /// See the module.
-pub struct Witness {
+pub struct EffectRecorder {
     /// Where effects are to go.
     pub at: SocketAddr,
-    came: Arc<Mutex<Vec<Came>>>,
+    came: Arc<Mutex<Vec<ReceivedEffect>>>,
 }
 
-impl Witness {
+impl EffectRecorder {
     /// One that has just started, before anything was granted. Without its guard it carries all out.
-    pub fn start(guarded: bool) -> Witness {
+    pub fn start(is_guarded: bool) -> EffectRecorder {
         let socket = UdpSocket::bind(("127.0.0.1", 0)).expect("a socket");
         socket.set_read_timeout(Some(Duration::from_millis(200))).expect("a time limit");
         let at = socket.local_addr().expect("an address");
-        let came: Arc<Mutex<Vec<Came>>> = Arc::default();
+        let came: Arc<Mutex<Vec<ReceivedEffect>>> = Arc::default();
         let kept = Arc::downgrade(&came);
         std::thread::spawn(move || {
-            let (mut fence, mut buffer) = (Fence::default(), [0; 256]);
+            let (mut guard, mut buffer) = (FencingGuard::default(), [0; 256]);
             while let Some(kept) = kept.upgrade() {
                 let Ok(size) = socket.recv(&mut buffer) else { continue };
                 let text = String::from_utf8_lossy(&buffer[..size]).into_owned();
@@ -47,24 +47,24 @@
                 else {
                     continue;
                 };
-                let (Some(item), Ok(token)) = (Work::new(work), token.parse()) else { continue };
-                let mut checked = fence.check(Effect::new(item.clone(), token, ()));
-                if checked.as_ref().err() == Some(&Held::Unknown) {
+                let (Some(item), Ok(token)) = (ResourceName::new(work), token.parse()) else { continue };
+                let mut checked = guard.check(Effect::new(item.clone(), token, ()));
+                if checked.as_ref().err() == Some(&FencingError::UnknownToken) {
                     // It started before the first grant: nothing is known to be there.
-                    fence.learn(&item, 0);
-                    checked = fence.check(Effect::new(item, token, ()));
+                    guard.learn_token(&item, 0);
+                    checked = guard.check(Effect::new(item, token, ()));
                 }
-                let done = checked.map(|checked| checked.carry_out(|()| ())).is_ok() || !guarded;
+                let done = checked.map(|checked| checked.carry_out(|()| ())).is_ok() || !is_guarded;
                 let (work, owner) = (work.to_string(), owner.to_string());
-                let row = Came { at: Instant::now(), work, token, owner, done };
+                let row = ReceivedEffect { at: Instant::now(), work, token, owner, done };
                 kept.lock().expect("the rows").push(row);
             }
         });
-        Witness { at, came }
+        EffectRecorder { at, came }
     }
 
     /// All that came, in order.
-    pub fn rows(&self) -> Vec<Came> {
+    pub fn rows(&self) -> Vec<ReceivedEffect> {
         self.came.lock().expect("the rows").clone()
     }
 
@@ -74,7 +74,7 @@
     }
 }
 
-fn check(rows: &[Came]) -> Result<usize, String> {
+fn check(rows: &[ReceivedEffect]) -> Result<usize, String> {
     let mut last: std::collections::BTreeMap<&str, (u64, &str)> = std::collections::BTreeMap::new();
     let mut changes = 0;
     for row in rows.iter().filter(|r| r.done) {
@@ -88,21 +88,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// The checker is seen to fail.
-    #[test]
-    fn a_lower_token_after_a_higher_one_is_told() {
-        let row = |token, owner: &str, done| Came {
-            at: Instant::now(),
-            work: "w".into(),
-            token,
-            owner: owner.into(),
-            done,
-        };
-        assert_eq!(check(&[row(1, "a", true), row(4, "b", true), row(1, "a", false)]), Ok(2));
-        assert!(check(&[row(4, "b", true), row(1, "a", true)]).is_err());
-        assert!(check(&[row(4, "b", true), row(4, "a", true)]).is_err());
-    }
-}
+mod tests;
--- a/crates/fleet-rig/src/lib.rs
+++ b/crates/fleet-testkit/src/lib.rs
@@ -1,10 +1,10 @@
 //! Starts several real gatekeepers on ports of their own, joins them by directed links (`link`), breaks processes
 //! (`process`) and links, and records how each sees the fleet (`history`). Waiting is always for a condition with a bound.
 
+pub mod effect_recorder;
 pub mod history;
 pub mod link;
 pub mod process;
-pub mod witness;
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -51,7 +51,7 @@
 }
 
 /// A fleet of processes.
-pub struct Rig {
+pub struct TestFleet {
     plan: Plan,
     folder: PathBuf,
     /// The processes, by number; ids are `n0`, `n1`, ...
@@ -63,24 +63,26 @@
     rng: Pcg64Mcg,
 }
 
-impl Rig {
+impl TestFleet {
     /// Starts all members.
-    pub fn start(plan: Plan) -> Rig {
+    pub fn start(plan: Plan) -> TestFleet {
         static NEXT: AtomicU32 = AtomicU32::new(0);
-        let name = format!("cobaltspool-rig-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
+        let name =
+            format!("cobaltspool-fleet-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
         let folder = std::env::temp_dir().join(&name);
-        std::fs::create_dir_all(&folder).expect("a folder for the rig");
-        // Ports go from one rig to the next: without a key of its own each, their fleets would meet.
-        std::fs::write(folder.join("fleet.key"), format!("{name}, a key of this rig's own")).expect("a key");
+        std::fs::create_dir_all(&folder).expect("a folder for the fleet");
+        // Ports go from one fleet to the next: without a key of its own each, their fleets would meet.
+        std::fs::write(folder.join("fleet.key"), format!("{name}, a key of its own")).expect("a key");
         let links = Links::new(if plan.linked { plan.members } else { 0 }, plan.seed);
         let rng = Pcg64Mcg::seed_from_u64(plan.seed);
-        let mut rig = Rig { plan, folder, members: Vec::new(), links, history: History::default(), rng };
-        for n in 0..rig.plan.members {
-            let process = Process { meets: rig.plan.upgrades, ..Process::new(&format!("n{n}")) };
-            rig.members.push(process);
-            rig.run(n);
+        let mut fleet =
+            TestFleet { plan, folder, members: Vec::new(), links, history: History::default(), rng };
+        for n in 0..fleet.plan.members {
+            let process = Process { meets: fleet.plan.upgrades, ..Process::new(&format!("n{n}")) };
+            fleet.members.push(process);
+            fleet.run(n);
         }
-        rig
+        fleet
     }
 
     /// The settling bound at this size: the contract's T.
@@ -233,7 +235,7 @@
         &mut self,
         what: &str,
         within: Duration,
-        holds: impl Fn(&Rig, &[Option<Seen>]) -> Result<(), String>,
+        holds: impl Fn(&TestFleet, &[Option<Seen>]) -> Result<(), String>,
     ) -> Duration {
         let start = Instant::now();
         loop {
@@ -254,11 +256,11 @@
     /// has settled. The bound has room for the machine's own delays.
     pub fn settles(&mut self, what: &str) -> Duration {
         let bound = self.bound();
-        self.until(what, bound + Duration::from_secs(10), |rig, seen| history::agree(&rig.members, seen))
+        self.until(what, bound + Duration::from_secs(10), |fleet, seen| history::agree(&fleet.members, seen))
     }
 }
 
-impl Drop for Rig {
+impl Drop for TestFleet {
     fn drop(&mut self) {
         for member in &mut self.members {
             member.kill();
--- /dev/null
+++ b/crates/fleet/src/lease/lease_manager.rs
@@ -0,0 +1,194 @@
+//! The leader's side of leases: who would own what, until when a resource may be in use, and what is to be assigned or freed next.
+//! Nothing of it is kept: a new leader takes every resource that is somebody's for leased from its first moment on.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use super::{
+    LeaseRequest, LeaseResponse, LeaseTable, MAX_CHANGES_PER_COMMAND, OwnedResource, OwnershipChange,
+    ProcessId, ResourceName, leader_lease,
+};
+use crate::Micros;
+
+/// Maximum number of requesters that are known at a time; further ones wait until one has fallen silent.
+const MAX_REQUESTERS: usize = 1_024;
+
+#[derive(Clone, Debug)]
+struct Requester {
+    wanted: BTreeSet<ResourceName>,
+    last_heard_at: Micros,
+}
+
+/// A change that was proposed to the log and is not applied yet.
+#[derive(Clone, Copy, Debug)]
+struct ProposedChange {
+    /// The token before it.
+    expected_token: u64,
+    /// The resource is to be nobody's.
+    frees: bool,
+}
+
+/// The leader's leases, from its election on.
+#[derive(Clone, Debug)]
+pub struct LeaseManager {
+    lease: Micros,
+    /// Before this nothing that is somebody's is taken from it: an earlier leader may have leased it.
+    takeover_at: Micros,
+    /// Until when a resource is leased.
+    leased_until: BTreeMap<ResourceName, Micros>,
+    requesters: BTreeMap<ProcessId, Requester>,
+    /// Released by their owners, with their tokens; to be freed.
+    released: BTreeMap<ResourceName, u64>,
+    proposed: BTreeMap<ResourceName, ProposedChange>,
+}
+
+impl LeaseManager {
+    /// A leader that has just been elected.
+    pub fn new(now: Micros, lease: Micros) -> LeaseManager {
+        LeaseManager {
+            lease,
+            takeover_at: now + leader_lease(lease),
+            leased_until: BTreeMap::new(),
+            requesters: BTreeMap::new(),
+            released: BTreeMap::new(),
+            proposed: BTreeMap::new(),
+        }
+    }
+
+    /// Takes a request. It is answered only once a majority has confirmed, after it came, that this voter leads.
+    pub fn handle_request(&mut self, now: Micros, request: &LeaseRequest, table: &LeaseTable) {
+        let is_known = self.requesters.contains_key(&request.requester);
+        if request.wanted.is_empty() {
+            self.requesters.remove(&request.requester);
+        } else if is_known || self.requesters.len() < MAX_REQUESTERS {
+            let wanted = request.wanted.iter().cloned().collect();
+            let requester = Requester { wanted, last_heard_at: now };
+            self.requesters.insert(request.requester.clone(), requester);
+        }
+        for OwnedResource { resource, token } in &request.released {
+            if table.is_owned(resource, &request.requester, *token) {
+                self.released.insert(resource.clone(), *token);
+            }
+        }
+    }
+
+    /// Answers a request after leadership was confirmed; what the answer names is leased from now on.
+    pub fn answer(&mut self, now: Micros, request: &LeaseRequest, table: &LeaseTable) -> LeaseResponse {
+        let mut owned = Vec::new();
+        for (resource, assignment) in table.iter() {
+            // A resource that is being reassigned is its next owner's from whenever that is committed: no lease may reach past it.
+            if assignment.owner.as_ref() != Some(&request.requester) || self.is_changing(resource) {
+                continue;
+            }
+            self.leased_until.insert(resource.clone(), now + leader_lease(self.lease));
+            owned.push(OwnedResource { resource: resource.clone(), token: assignment.token });
+        }
+        LeaseResponse { number: request.number, owned }
+    }
+
+    /// A change of the resource is proposed or will be.
+    fn is_changing(&self, resource: &ResourceName) -> bool {
+        self.proposed.contains_key(resource) || self.released.contains_key(resource)
+    }
+
+    /// The changes to propose next, a bounded number at a time: released resources are freed, then those that are nobody's or
+    /// whose lease is over are assigned.
+    pub fn next_changes(&mut self, now: Micros, table: &LeaseTable) -> Vec<OwnershipChange> {
+        self.forget_outdated(now, table);
+        let mut changes = self.changes_to_free();
+        self.add_changes_to_assign(now, table, &mut changes);
+        for change in &changes {
+            let proposed =
+                ProposedChange { expected_token: change.expected_token, frees: change.new_owner.is_none() };
+            self.proposed.insert(change.resource.clone(), proposed);
+        }
+        changes
+    }
+
+    /// Forgets requesters that have fallen silent and changes that were applied or overtaken.
+    fn forget_outdated(&mut self, now: Micros, table: &LeaseTable) {
+        let lease = self.lease;
+        self.requesters.retain(|_, requester| now.saturating_sub(requester.last_heard_at) < lease);
+        let has_owner = |resource: &ResourceName| {
+            table.get(resource).is_some_and(|assignment| assignment.owner.is_some())
+        };
+        self.proposed.retain(|resource, proposed| {
+            let is_unapplied = table.token(resource) == proposed.expected_token;
+            is_unapplied && (!proposed.frees || has_owner(resource))
+        });
+        self.released.retain(|resource, token| has_owner(resource) && table.token(resource) == *token);
+    }
+
+    fn changes_to_free(&self) -> Vec<OwnershipChange> {
+        let unproposed = self.released.iter().filter(|(resource, _)| !self.proposed.contains_key(*resource));
+        let change = |(resource, token): (&ResourceName, &u64)| OwnershipChange {
+            resource: resource.clone(),
+            expected_token: *token,
+            new_owner: None,
+        };
+        unproposed.take(MAX_CHANGES_PER_COMMAND).map(change).collect()
+    }
+
+    fn add_changes_to_assign(&mut self, now: Micros, table: &LeaseTable, changes: &mut Vec<OwnershipChange>) {
+        let mut load = self.load_by_requester(table);
+        let requesters = self.requesters.values();
+        let wanted: BTreeSet<ResourceName> =
+            requesters.flat_map(|requester| requester.wanted.iter().cloned()).collect();
+        for resource in wanted {
+            if changes.len() >= MAX_CHANGES_PER_COMMAND {
+                break;
+            }
+            if self.is_changing(&resource) || self.is_leased(now, table, &resource) {
+                continue;
+            }
+            let Some(owner) = self.choose_owner(&resource, &load) else { continue };
+            load.entry(owner.clone()).and_modify(|count| *count += 1);
+            // Time to hear of it and to request it, before it is assigned to the next.
+            self.leased_until.insert(resource.clone(), now + leader_lease(self.lease));
+            let expected_token = table.token(&resource);
+            changes.push(OwnershipChange { resource, expected_token, new_owner: Some(owner) });
+        }
+    }
+
+    /// How many resources each requester owns.
+    fn load_by_requester(&self, table: &LeaseTable) -> BTreeMap<ProcessId, usize> {
+        let mut load: BTreeMap<ProcessId, usize> =
+            self.requesters.keys().map(|requester| (requester.clone(), 0)).collect();
+        for owner in table.iter().filter_map(|(_, assignment)| assignment.owner.as_ref()) {
+            load.entry(owner.clone()).and_modify(|count| *count += 1);
+        }
+        load
+    }
+
+    /// Whether the resource is somebody's and may still be in use.
+    fn is_leased(&self, now: Micros, table: &LeaseTable, resource: &ResourceName) -> bool {
+        let leased_until = self.leased_until.get(resource).copied().unwrap_or(0).max(self.takeover_at);
+        let has_owner = table.get(resource).is_some_and(|assignment| assignment.owner.is_some());
+        has_owner && now < leased_until
+    }
+
+    /// Spreads resources evenly: the one of those that want it that owns the fewest, and among such the one that the resource's
+    /// name draws.
+    fn choose_owner(&self, resource: &ResourceName, load: &BTreeMap<ProcessId, usize>) -> Option<ProcessId> {
+        let candidates = self.requesters.iter().filter(|(_, requester)| requester.wanted.contains(resource));
+        let rank = |process: &ProcessId| {
+            let owned = load.get(process).copied().unwrap_or(0);
+            (owned, rendezvous_hash(resource, process), process.clone())
+        };
+        candidates.map(|(process, _)| rank(process)).min().map(|(_, _, process)| process)
+    }
+
+    /// These were not taken into the log. Not for changes that may still be committed.
+    pub fn cancel_changes(&mut self, changes: &[OwnershipChange]) {
+        for change in changes {
+            self.proposed.remove(&change.resource);
+        }
+    }
+}
+
+/// Rendezvous hashing: each resource ranks the members in an order of its own.
+fn rendezvous_hash(resource: &ResourceName, process: &ProcessId) -> u64 {
+    crate::wire::digest(format!("{resource} {}", process.member).as_bytes())
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -8,13 +8,13 @@
 //! - [`owner`]: work items, one owner each, leases and fencing tokens, on the log; [`parcel`]: what goes over streams for both;
 //! - [`fronts`]: how many gatekeepers a cold server's budget is divided by, so that a cut never lets two halves press it.
 
-pub mod disk;
+pub mod envelope;
 pub mod fronts;
+pub mod lease;
 pub mod member;
-pub mod owner;
-pub mod parcel;
 pub mod quorum;
 pub mod view;
+pub mod wal;
 pub mod wire;
 
 /// Monotonic time in microseconds, from any start that a process keeps.
--- a/crates/fleet/src/quorum/mod.rs
+++ b/crates/fleet/src/quorum/mod.rs
@@ -1,18 +1,29 @@
-//! A small replicated log among 3, 5 or 7 voters, after Raft (Ongaro 2014) with pre-vote and check-quorum. Pure: letters, times and
-//! the disk's word in; letters, writes and committed orders out.
+//! A small replicated log among 3, 5 or 7 voters, after Raft (Ongaro 2014) with pre-vote and check-quorum. No I/O: messages, times
+//! and the disk's reports in; messages, writes and committed entries out.
 //!
-//! Beyond Raft: **every start is a re-entry** ([`entry`]). A disk may have forgotten what its voter promised (an empty or an
-//! older folder, an fsync that kept nothing, a record that does not read), and no voter can tell by itself. So one that has started
-//! gives itself a new [`Life`], asks the others how far they are, and neither votes, leads nor acknowledges before enough of
-//! them have answered. From then on it votes for nobody who is behind the furthest of those answers. Letters carry the lives
-//! that their sender knows, and what an earlier life of a voter promised counts no more once a later one is known.
+//! Beyond Raft: **every start goes through a rejoin** ([`rejoin`]). A disk may have forgotten what its voter promised (an empty or an
+//! older folder, an fsync that kept nothing, an unreadable record), and no voter can tell by itself. So one that has started
+//! takes a new [`Incarnation`], asks the others how far they are, and neither votes, leads nor acknowledges before enough of
+//! them have answered. From then on it votes for nobody who is behind the furthest of those answers. Messages carry the
+//! incarnations that their sender knows, and what an earlier incarnation of a voter promised counts no more once a later one
+//! is known.
 //!
-//! What must be on disk before a letter leaves is kept here: a letter that states a promise is held until [`Voter::written`]
-//! says that the write it rests on is done.
-
-pub mod entry;
+//! What must be on disk before a message leaves is decided here: a message that states a promise is delayed until
+//! [`Voter::handle_written`] reports the write that it rests on.
+//!
+//! | file | concern |
+//! | --- | --- |
+//! | `mod` | the voter's state, its timers and the way of a message |
+//! | `election` | roles, votes and terms |
+//! | `replicate` | the log from the leader to the others |
+//! | `rejoin` | how a voter that has started takes part again |
+//! | `log`, `machine` | a voter's log; the state machine and its sessions |
+//! | `types` | messages, records, configuration |
+
+mod election;
 pub mod log;
 pub mod machine;
+pub mod rejoin;
 mod replicate;
 mod types;
 
@@ -24,450 +35,413 @@
 
 use crate::Micros;
 use crate::member::MemberId;
-use entry::Entering;
 use log::Log;
+use rejoin::RejoinState;
 pub use types::{
-    Body, Entry, Event, Hard, Held, Letter, Life, Order, Out, Place, Record, Refused, Role, Rules, Setup,
-    Standing,
+    Action, Command, Config, Entry, Event, HardState, Incarnation, LogPosition, LogRecord, Message,
+    MessageBody, ProposeError, RecoveredState, Role, SafetyChecks, VoterStatus,
 };
 
-/// Most bytes of an order.
-pub const ORDER_BYTES: usize = 4_096;
-/// Most entries in a letter.
-const ENTRIES: usize = 64;
-/// Entries kept after a snapshot, at most; at the bound the log asks for a snapshot, and far beyond it takes no orders.
-pub const LOG_MOST: u64 = 1_024;
-/// Orders that are taken and not committed yet, at most; further ones are refused.
-const OPEN_MOST: u64 = 512;
-/// Letters that wait for the disk, at most; further ones are dropped, as the network may drop them.
-const HELD_MOST: usize = 256;
-/// Questions for a confirmation that are out, at most.
-const READS_MOST: usize = 256;
+/// Maximum size of a command's body.
+pub const MAX_COMMAND_BYTES: usize = 4_096;
+/// Maximum number of entries in a message.
+const MAX_ENTRIES_PER_MESSAGE: usize = 64;
+/// Maximum number of entries behind the snapshot; at the bound the voter asks for a snapshot, and far beyond it takes no commands.
+pub const MAX_LOG_LENGTH: u64 = 1_024;
+/// Maximum number of commands that are not committed yet; further ones are refused.
+const MAX_UNCOMMITTED: u64 = 512;
+/// Maximum number of messages that wait for the disk; further ones are dropped, as the network may drop them.
+const MAX_DELAYED_MESSAGES: usize = 256;
+/// Maximum number of confirmations of leadership that are under way.
+const MAX_PENDING_READS: usize = 256;
 /// Heartbeats in an election timeout.
-const BEATS: u64 = 5;
+const HEARTBEATS_PER_ELECTION_TIMEOUT: u64 = 5;
 
-/// How far another is, as the leader knows it.
+/// How far another voter is, as the leader knows it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Progress {
-    next: u64,
-    matched: u64,
-    round: u64,
-    heard: Micros,
+    next_index: u64,
+    match_index: u64,
+    /// The last heartbeat that it has answered.
+    acked_round: u64,
+    last_heard_at: Micros,
 }
 
-/// Random choices; states that differ in them only are the same to a checker.
+/// Random numbers for election timeouts; states that differ in them only are the same to a model checker.
 #[derive(Clone, Debug)]
-struct Chance(Pcg64Mcg);
+struct TimeoutRng(Pcg64Mcg);
 
-impl PartialEq for Chance {
-    fn eq(&self, _: &Chance) -> bool {
+impl PartialEq for TimeoutRng {
+    fn eq(&self, _: &TimeoutRng) -> bool {
         true
     }
 }
 
-impl Eq for Chance {}
+impl Eq for TimeoutRng {}
 
-impl Hash for Chance {
+impl Hash for TimeoutRng {
     fn hash<H: Hasher>(&self, _: &mut H) {}
 }
 
-/// The first of a queue, where it is one of those.
-fn pop_if<T>(queue: &mut VecDeque<T>, is: impl Fn(&T) -> bool) -> Option<T> {
-    if queue.front().is_some_and(is) { queue.pop_front() } else { None }
+/// Where the log ended with a write that is not done yet.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct PendingWrite {
+    number: u64,
+    last_index: u64,
+}
+
+/// A message that may leave once a write is done.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct DelayedMessage {
+    write: u64,
+    message: Message,
+}
+
+/// A confirmation of leadership that needs answers to a heartbeat from a majority.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct PendingRead {
+    round: u64,
+    ticket: u64,
+}
+
+/// Takes the first of a queue, where it satisfies the predicate.
+fn pop_front_if<T>(queue: &mut VecDeque<T>, predicate: impl Fn(&T) -> bool) -> Option<T> {
+    if queue.front().is_some_and(predicate) { queue.pop_front() } else { None }
 }
 
 /// One voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voter {
-    set: Setup,
-    chance: Chance,
-    hard: Hard,
+    config: Config,
+    rng: TimeoutRng,
+    hard_state: HardState,
     log: Log,
-    /// It votes for nobody whose log ends before this place.
-    promise: Place,
-    life: Life,
-    entering: Option<Entering>,
-    /// What each other holds, where nobody leads and this one is behind its promise.
-    survey: BTreeMap<MemberId, Place>,
-    read_only: bool,
+    /// It votes for nobody whose log ends before this position.
+    promised: LogPosition,
+    incarnation: Incarnation,
+    /// `Some` until it has rejoined.
+    rejoin: Option<RejoinState>,
+    /// What each other voter holds, where nobody leads and this one is behind its promise.
+    log_survey: BTreeMap<MemberId, LogPosition>,
+    is_read_only: bool,
     role: Role,
     leader: Option<MemberId>,
-    heard: Micros,
-    deadline: Micros,
-    commit: u64,
+    leader_heard_at: Micros,
+    election_deadline: Micros,
+    commit_index: u64,
+    /// Who has voted for it, while it is a candidate or pre-candidate.
     votes: Vec<MemberId>,
-    peers: BTreeMap<MemberId, Progress>,
-    /// The furthest that was heard of each other, to remind it of.
-    remembered: BTreeMap<MemberId, Place>,
-    round: u64,
-    reads: VecDeque<(u64, u64)>,
-    /// Number of the last write that was asked for, and of the last that is done.
-    write: u64,
-    done: u64,
-    /// Where the log ended with each write that is not done.
-    ends: VecDeque<(u64, u64)>,
-    durable: u64,
-    held: VecDeque<(u64, Letter)>,
-    asked_to_compact: bool,
+    /// The others' progress, while it leads.
+    progress: BTreeMap<MemberId, Progress>,
+    /// The highest term and index heard of each other voter, to remind it of.
+    remembered: BTreeMap<MemberId, LogPosition>,
+    heartbeat_round: u64,
+    pending_reads: VecDeque<PendingRead>,
+    /// Number of the last write that was requested, and of the last that is done.
+    last_write: u64,
+    last_done_write: u64,
+    pending_writes: VecDeque<PendingWrite>,
+    /// Up to where the log is on disk.
+    durable_index: u64,
+    delayed_messages: VecDeque<DelayedMessage>,
+    compaction_requested: bool,
 }
 
 impl Voter {
-    /// A voter that has just started, with what its disk held. `seed` is for its random choices.
-    pub fn new(now: Micros, set: Setup, held: Held, seed: u64, out: &mut Vec<Out>) -> Voter {
-        let Held { hard, log, promise, whole } = held;
-        let number = hard.lives.get(&set.id).map_or(0, |life| life.number) + 1;
+    /// A voter that has just started, with what its disk held. `seed` is for its election timeouts.
+    pub fn new(
+        now: Micros,
+        config: Config,
+        recovered: RecoveredState,
+        seed: u64,
+        actions: &mut Vec<Action>,
+    ) -> Voter {
+        let RecoveredState { hard_state, log, promised, is_intact } = recovered;
+        let earlier = hard_state.incarnations.get(&config.id).map_or(0, |incarnation| incarnation.number);
         let last = log.last();
         let mut voter = Voter {
-            chance: Chance(Pcg64Mcg::seed_from_u64(seed)),
-            promise: promise.max(last),
-            life: Life { number, nonce: set.nonce },
-            entering: None,
-            survey: BTreeMap::new(),
-            read_only: false,
+            rng: TimeoutRng(Pcg64Mcg::seed_from_u64(seed)),
+            promised: promised.max(last),
+            incarnation: Incarnation { number: earlier + 1, nonce: config.nonce },
+            rejoin: None,
+            log_survey: BTreeMap::new(),
+            is_read_only: false,
             role: Role::Follower,
             leader: None,
-            heard: now,
-            deadline: now,
-            commit: log.base().index,
+            leader_heard_at: now,
+            election_deadline: now,
+            commit_index: log.base().index,
             votes: Vec::new(),
-            peers: BTreeMap::new(),
+            progress: BTreeMap::new(),
             remembered: BTreeMap::new(),
-            round: 0,
-            reads: VecDeque::new(),
-            write: 0,
-            done: 0,
-            ends: VecDeque::new(),
-            durable: last.index,
-            held: VecDeque::new(),
-            asked_to_compact: false,
-            hard,
+            heartbeat_round: 0,
+            pending_reads: VecDeque::new(),
+            last_write: 0,
+            last_done_write: 0,
+            pending_writes: VecDeque::new(),
+            durable_index: last.index,
+            delayed_messages: VecDeque::new(),
+            compaction_requested: false,
+            hard_state,
             log,
-            set,
+            config,
         };
         if !voter.log.state().is_empty() {
-            out.push(Out::Restore(voter.commit, voter.log.state().to_vec()));
+            let state = voter.log.state().to_vec();
+            actions.push(Action::Restore { index: voter.commit_index, state });
         }
-        voter.wait(now);
-        if voter.set.rules.reentry && !(voter.set.trust_disk && whole) {
-            voter.enter_anew(now, out);
+        voter.reset_election_deadline(now);
+        let trusts_disk = voter.config.trust_disk && is_intact;
+        if voter.config.checks.rejoin && !trusts_disk {
+            voter.start_rejoin(now, actions);
         } else {
-            voter.hard.lives.insert(voter.set.id.clone(), voter.life);
-            voter.save_hard(out);
+            voter.hard_state.incarnations.insert(voter.config.id.clone(), voter.incarnation);
+            voter.write_hard_state(actions);
         }
         voter
     }
 
-    /// More than half of them.
+    /// More than half of the voters.
     pub fn majority(&self) -> usize {
-        self.set.voters.len() / 2 + 1
+        self.config.voters.len() / 2 + 1
     }
 
-    /// What it does.
+    /// Its role.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// How it stands.
-    pub fn standing(&self) -> Standing {
-        match (self.read_only, &self.entering) {
-            (true, _) => Standing::ReadOnly,
-            (false, Some(_)) => Standing::Amnesiac,
-            (false, None) if self.log.last() < self.promise => Standing::Amnesiac,
-            (false, None) => Standing::Voting,
+    /// Whether it takes part.
+    pub fn status(&self) -> VoterStatus {
+        if self.is_read_only {
+            VoterStatus::ReadOnly
+        } else if self.rejoin.is_some() || self.log.last() < self.promised {
+            VoterStatus::Amnesiac
+        } else {
+            VoterStatus::Voting
         }
     }
 
     /// Its term.
     pub fn term(&self) -> u64 {
-        self.hard.term
+        self.hard_state.term
     }
 
     /// Who leads, as far as it knows.
     pub fn leader(&self) -> Option<&MemberId> {
-        if self.role == Role::Leader { Some(&self.set.id) } else { self.leader.as_ref() }
+        if self.role == Role::Leader { Some(&self.config.id) } else { self.leader.as_ref() }
+    }
+
+    /// The last index that is known to be committed.
+    pub fn commit_index(&self) -> u64 {
+        self.commit_index
     }
 
-    /// The last index that is known to be committed, and the log's last.
-    pub fn indices(&self) -> (u64, u64) {
-        (self.commit, self.log.last().index)
+    /// The log's last index.
+    pub fn last_index(&self) -> u64 {
+        self.log.last().index
     }
 
-    /// When it leads: the others that were heard within an election timeout are a majority with it.
+    /// Whether it leads, and the others that were heard within an election timeout are a majority with it.
     pub fn hears_majority(&self, now: Micros) -> bool {
-        let near = |p: &&Progress| now.saturating_sub(p.heard) < self.set.election;
-        self.role == Role::Leader && self.peers.values().filter(near).count() + 1 >= self.majority()
+        let timeout = self.config.election_timeout;
+        let is_heard = |progress: &&Progress| now.saturating_sub(progress.last_heard_at) < timeout;
+        self.role == Role::Leader && self.progress.values().filter(is_heard).count() + 1 >= self.majority()
     }
 
-    /// A leader was heard of late, or it is one that hears a majority.
+    /// Whether a leader was heard of late, or this voter is one that hears a majority.
     pub fn sees_majority(&self, now: Micros) -> bool {
-        let follows = self.leader.is_some() && now.saturating_sub(self.heard) < self.set.election * 2;
-        self.standing() == Standing::Voting && (self.hears_majority(now) || follows)
+        let is_recent = now.saturating_sub(self.leader_heard_at) < self.config.election_timeout * 2;
+        let follows = self.leader.is_some() && is_recent;
+        self.status() == VoterStatus::Voting && (self.hears_majority(now) || follows)
     }
 
     /// When it wants the next tick.
-    pub fn next_due(&self, now: Micros) -> Micros {
-        let beat = now + self.set.election / BEATS;
-        if self.role == Role::Leader { beat } else { self.deadline.min(beat).max(now) }
-    }
-
-    fn others(&self) -> Vec<MemberId> {
-        self.set.voters.iter().filter(|v| **v != self.set.id).cloned().collect()
-    }
-
-    /// The next election is due after a drawn time.
-    fn wait(&mut self, now: Micros) {
-        let most = self.set.election.max(1);
-        self.deadline = now + self.set.election + self.chance.0.next_u64() % most;
-    }
-
-    /// Asks the disk for a write; later promises rest on it.
-    fn save(&mut self, records: Vec<Record>, out: &mut Vec<Out>) {
-        self.write += 1;
-        self.ends.push_back((self.write, self.log.last().index));
-        out.push(Out::Write(self.write, records));
-    }
-
-    fn save_hard(&mut self, out: &mut Vec<Out>) {
-        let hard = self.hard.clone();
-        self.save(vec![Record::Hard(hard)], out);
-    }
-
-    fn letter(&self, to: &MemberId, term: u64, body: Body) -> Letter {
-        Letter { from: self.set.id.clone(), to: to.clone(), term, lives: self.hard.lives.clone(), body }
-    }
-
-    /// Sends what promises nothing.
-    fn say(&self, to: &MemberId, body: Body, out: &mut Vec<Out>) {
-        out.push(Out::Send(self.letter(to, self.hard.term, body)));
-    }
-
-    /// Sends a promise, once all that was asked of the disk before is done.
-    fn promise(&mut self, to: &MemberId, body: Body, out: &mut Vec<Out>) {
-        let letter = self.letter(to, self.hard.term, body);
-        if self.done >= self.write || !self.set.rules.disk_first {
-            out.push(Out::Send(letter));
-        } else if self.held.len() < HELD_MOST {
-            self.held.push_back((self.write, letter));
+    pub fn next_deadline(&self, now: Micros) -> Micros {
+        let heartbeat = now + self.config.election_timeout / HEARTBEATS_PER_ELECTION_TIMEOUT;
+        match self.role {
+            Role::Leader => heartbeat,
+            Role::Follower | Role::PreCandidate | Role::Candidate => {
+                self.election_deadline.min(heartbeat).max(now)
+            }
         }
     }
 
-    /// The disk has done all writes up to this number.
-    pub fn written(&mut self, now: Micros, number: u64, out: &mut Vec<Out>) {
-        if self.read_only {
+    /// Runs the timers that are due.
+    pub fn tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        if self.is_read_only {
             return;
         }
-        self.done = self.done.max(number);
-        while let Some((_, end)) = pop_if(&mut self.ends, |(n, _)| *n <= number) {
-            self.durable = end;
+        if self.rejoin.is_some() {
+            return self.send_rejoin_requests(now, actions);
         }
-        while let Some((_, letter)) = pop_if(&mut self.held, |(n, _)| *n <= number) {
-            out.push(Out::Send(letter));
+        if self.role == Role::Leader {
+            if self.config.checks.check_quorum && !self.hears_majority(now) {
+                self.reset_election_deadline(now);
+                return self.become_follower(None, actions);
+            }
+            return self.send_heartbeats(actions);
         }
-        match self.role {
-            Role::Candidate => self.count(now, out),
-            Role::Leader => self.commit_more(out),
-            Role::Follower | Role::Asking => {}
+        if now >= self.election_deadline {
+            self.campaign(now, actions);
         }
     }
 
-    /// The disk fails: nothing that it was asked to keep is known to be kept, and it is not asked again.
-    pub fn disk_failed(&mut self, out: &mut Vec<Out>) {
-        if !self.read_only {
-            self.follow(None, out);
-            self.read_only = true;
-            self.held.clear();
-        }
-    }
-
-    /// Takes a letter.
-    pub fn take(&mut self, now: Micros, letter: Letter, out: &mut Vec<Out>) {
-        let known = self.set.voters.contains(&letter.from) && letter.from != self.set.id;
-        if !known || letter.to != self.set.id || self.read_only {
+    /// Handles a message.
+    pub fn step(&mut self, now: Micros, message: Message, actions: &mut Vec<Action>) {
+        let is_peer = self.config.voters.contains(&message.from) && message.from != self.config.id;
+        if !is_peer || message.to != self.config.id || self.is_read_only {
             return;
         }
-        let Letter { from, term, lives, body, .. } = letter;
-        if !self.take_lives(now, &from, &lives, out) {
-            return; // of an earlier life of its writer
+        let Message { from, term, incarnations, body, .. } = message;
+        if !self.handle_incarnations(now, &from, &incarnations, actions) {
+            return; // of an earlier incarnation of its sender
         }
+        let is_pre_vote_request = matches!(body, MessageBody::RequestVote { is_pre_vote: true, .. });
         let remembered = self.remembered.entry(from.clone()).or_default();
-        if !matches!(body, Body::Ask { pre: true, .. }) {
+        if !is_pre_vote_request {
             remembered.term = remembered.term.max(term);
         }
         match body {
-            Body::Hello => return self.welcome(&from, out),
-            Body::Welcome { .. } => return self.welcomed(now, from, term, &body, out),
+            MessageBody::RejoinRequest => return self.handle_rejoin_request(&from, actions),
+            MessageBody::RejoinResponse { .. } => {
+                return self.handle_rejoin_response(now, from, term, &body, actions);
+            }
             _ => {}
         }
-        if self.entering.is_some() {
+        if self.rejoin.is_some() {
             return;
         }
         // Who hears a leader helps nobody to unseat it: one that comes back from a cut or a stop knows less than the others.
-        if matches!(body, Body::Ask { .. }) && self.set.rules.pre_vote && self.led(now) {
+        let asks_for_vote = matches!(body, MessageBody::RequestVote { .. });
+        if asks_for_vote && self.config.checks.pre_vote && self.has_leader(now) {
             return;
         }
-        let question = matches!(body, Body::Ask { pre: true, .. } | Body::Vote { pre: true, granted: true });
-        if term > self.hard.term && !question {
-            (self.hard.term, self.hard.vote) = (term, None);
-            self.save_hard(out);
-            self.follow(None, out);
+        let is_pre_vote_granted =
+            matches!(body, MessageBody::VoteResponse { is_pre_vote: true, granted: true });
+        if term > self.hard_state.term && !is_pre_vote_request && !is_pre_vote_granted {
+            self.hard_state.term = term;
+            self.hard_state.voted_for = None;
+            self.write_hard_state(actions);
+            self.become_follower(None, actions);
         }
+        self.handle_body(now, from, term, body, actions);
+    }
+
+    fn handle_body(
+        &mut self,
+        now: Micros,
+        from: MemberId,
+        term: u64,
+        body: MessageBody,
+        actions: &mut Vec<Action>,
+    ) {
+        let is_stale = term < self.hard_state.term;
         match body {
-            Body::Ask { pre, last } => self.asked(now, from, pre, term, last, out),
-            Body::Vote { pre, granted } => {
-                let role = if pre { Role::Asking } else { Role::Candidate };
-                let of_now = if pre { term == self.hard.term + 1 } else { term == self.hard.term };
-                if granted && of_now && self.role == role && !self.votes.contains(&from) {
-                    self.votes.push(from);
-                    self.count(now, out);
+            MessageBody::RequestVote { is_pre_vote, last } => {
+                self.handle_vote_request(now, from, term, is_pre_vote, last, actions);
+            }
+            MessageBody::VoteResponse { is_pre_vote, granted } => {
+                if granted {
+                    self.handle_vote(now, from, term, is_pre_vote, actions);
                 }
             }
-            Body::Append { .. } | Body::Snapshot { .. } if term < self.hard.term => {
+            MessageBody::AppendEntries { .. } | MessageBody::InstallSnapshot { .. } if is_stale => {
                 // So that it hears of the later term.
-                self.say(&from, Body::Appended { matches: false, index: 0, round: 0 }, out);
+                let response = MessageBody::AppendResponse { matches: false, index: 0, round: 0 };
+                self.send(&from, response, actions);
             }
-            Body::Append { prev, entries, commit, round } => {
-                self.hears_leader(now, &from, out);
-                self.append(&from, prev, entries, commit, round, out);
+            MessageBody::AppendEntries { prev, entries, commit, round } => {
+                self.record_leader_contact(now, &from, actions);
+                self.handle_append_entries(&from, prev, entries, commit, round, actions);
             }
-            Body::Snapshot { last, state, round } => {
-                self.hears_leader(now, &from, out);
-                self.take_snapshot(&from, last, state, round, out);
+            MessageBody::InstallSnapshot { last, state, round } => {
+                self.record_leader_contact(now, &from, actions);
+                self.handle_snapshot(&from, last, state, round, actions);
             }
-            Body::Appended { matches, index, round } if term == self.hard.term => {
-                self.appended(now, from, matches, index, round, out);
+            MessageBody::AppendResponse { matches, index, round } => {
+                if term == self.hard_state.term {
+                    self.handle_append_response(now, from, matches, index, round, actions);
+                }
             }
-            Body::Appended { .. } | Body::Hello | Body::Welcome { .. } => {}
+            MessageBody::RejoinRequest | MessageBody::RejoinResponse { .. } => {}
         }
     }
 
-    /// A leader was heard within an election timeout, or this one is one that hears a majority.
-    fn led(&self, now: Micros) -> bool {
-        let near = now.saturating_sub(self.heard) < self.set.election;
-        self.role == Role::Leader || self.leader.is_some() && near
+    /// The disk has done all writes up to this number.
+    pub fn handle_written(&mut self, now: Micros, number: u64, actions: &mut Vec<Action>) {
+        if self.is_read_only {
+            return;
+        }
+        self.last_done_write = self.last_done_write.max(number);
+        while let Some(write) = pop_front_if(&mut self.pending_writes, |write| write.number <= number) {
+            self.durable_index = write.last_index;
+        }
+        while let Some(delayed) = pop_front_if(&mut self.delayed_messages, |delayed| delayed.write <= number)
+        {
+            actions.push(Action::Send(delayed.message));
+        }
+        match self.role {
+            Role::Candidate => self.count_votes(now, actions),
+            Role::Leader => self.advance_commit(actions),
+            Role::Follower | Role::PreCandidate => {}
+        }
     }
 
-    /// Leads or asks no more; follows this one, where one is known.
-    fn follow(&mut self, leader: Option<MemberId>, out: &mut Vec<Out>) {
-        if self.role == Role::Leader {
-            out.push(Out::Event(Event::StepsDown));
-            out.extend(self.reads.drain(..).map(|(_, ticket)| Out::Unconfirmed(ticket)));
-        }
-        if let Some(leader) = leader.as_ref().filter(|l| self.leader.as_ref() != Some(l)) {
-            out.push(Out::Event(Event::Follows(leader.clone(), self.hard.term)));
+    /// The disk fails: nothing that it was asked to keep is known to be kept, and it is not asked again.
+    pub fn handle_disk_failure(&mut self, actions: &mut Vec<Action>) {
+        if !self.is_read_only {
+            self.become_follower(None, actions);
+            self.is_read_only = true;
+            self.delayed_messages.clear();
         }
-        self.role = Role::Follower;
-        self.leader = leader;
-        self.votes.clear();
-        self.peers.clear();
     }
 
-    fn hears_leader(&mut self, now: Micros, from: &MemberId, out: &mut Vec<Out>) {
-        self.follow(Some(from.clone()), out);
-        self.heard = now;
-        self.wait(now);
+    fn others(&self) -> Vec<MemberId> {
+        self.config.voters.iter().filter(|voter| **voter != self.config.id).cloned().collect()
     }
 
-    fn asked(&mut self, now: Micros, from: MemberId, pre: bool, term: u64, last: Place, out: &mut Vec<Out>) {
-        let far_enough = last >= self.log.last().max(self.promise);
-        let free = if pre {
-            term > self.hard.term
-        } else {
-            term == self.hard.term && self.hard.vote.as_ref().is_none_or(|v| *v == from)
-        };
-        let granted = far_enough && free;
-        if pre {
-            // A yes names the term that it is for, a no the one that is held here.
-            let term = if granted { term } else { self.hard.term };
-            return out.push(Out::Send(self.letter(&from, term, Body::Vote { pre, granted })));
-        }
-        if granted {
-            if self.hard.vote.is_none() {
-                self.hard.vote = Some(from.clone());
-                self.save_hard(out);
-            }
-            self.wait(now);
-        }
-        self.promise(&from, Body::Vote { pre, granted }, out);
+    /// The next election starts after a random time of one to two election timeouts.
+    fn reset_election_deadline(&mut self, now: Micros) {
+        let timeout = self.config.election_timeout;
+        self.election_deadline = now + timeout + self.rng.0.next_u64() % timeout.max(1);
     }
 
-    /// Asks for votes, or first whether there would be any.
-    pub fn campaign(&mut self, now: Micros, out: &mut Vec<Out>) {
-        self.wait(now);
-        // One that is behind what it may have promised would be elected by nobody who remembers.
-        if self.entering.is_some() || self.read_only {
-            return;
-        }
-        if self.log.last() < self.promise {
-            return self.ask_all(out);
-        }
-        self.follow(None, out);
-        self.votes = vec![self.set.id.clone()];
-        let pre = self.set.rules.pre_vote;
-        self.role = if pre { Role::Asking } else { Role::Candidate };
-        if !pre {
-            self.stand(out);
-        }
-        self.ask(pre, out);
+    /// Requests a write; promises that are sent later rest on it.
+    fn write(&mut self, records: Vec<LogRecord>, actions: &mut Vec<Action>) {
+        self.last_write += 1;
+        let last_index = self.log.last().index;
+        self.pending_writes.push_back(PendingWrite { number: self.last_write, last_index });
+        actions.push(Action::Write { number: self.last_write, records });
     }
 
-    fn stand(&mut self, out: &mut Vec<Out>) {
-        (self.hard.term, self.hard.vote) = (self.hard.term + 1, Some(self.set.id.clone()));
-        self.save_hard(out);
+    fn write_hard_state(&mut self, actions: &mut Vec<Action>) {
+        let hard_state = self.hard_state.clone();
+        self.write(vec![LogRecord::HardState(hard_state)], actions);
     }
 
-    fn ask(&mut self, pre: bool, out: &mut Vec<Out>) {
-        let term = self.hard.term + u64::from(pre);
-        for to in self.others() {
-            let body = Body::Ask { pre, last: self.log.last() };
-            out.push(Out::Send(self.letter(&to, term, body)));
-        }
+    /// Whether all requested writes are on disk.
+    fn is_durable(&self) -> bool {
+        self.last_done_write >= self.last_write || !self.config.checks.durable_before_send
     }
 
-    fn count(&mut self, now: Micros, out: &mut Vec<Out>) {
-        if self.votes.len() < self.majority() {
-            return;
-        }
-        match self.role {
-            Role::Asking => {
-                self.role = Role::Candidate;
-                self.votes = vec![self.set.id.clone()];
-                self.stand(out);
-                self.ask(false, out);
-            }
-            // Its own vote counts once it is on disk.
-            Role::Candidate if self.done >= self.write || !self.set.rules.disk_first => self.lead(now, out),
-            Role::Candidate | Role::Follower | Role::Leader => {}
-        }
+    fn message(&self, to: &MemberId, term: u64, body: MessageBody) -> Message {
+        let incarnations = self.hard_state.incarnations.clone();
+        Message { from: self.config.id.clone(), to: to.clone(), term, incarnations, body }
     }
 
-    fn lead(&mut self, now: Micros, out: &mut Vec<Out>) {
-        self.role = Role::Leader;
-        self.leader = None;
-        let next = self.log.last().index + 1;
-        let progress = Progress { next, heard: now, ..Progress::default() };
-        self.peers = self.others().into_iter().map(|id| (id, progress)).collect();
-        out.push(Out::Event(Event::Leads(self.hard.term)));
-        self.add(None, out);
-        self.beat(out);
+    /// Sends what promises nothing.
+    fn send(&self, to: &MemberId, body: MessageBody, actions: &mut Vec<Action>) {
+        actions.push(Action::Send(self.message(to, self.hard_state.term, body)));
     }
 
-    /// Keeps time.
-    pub fn tick(&mut self, now: Micros, out: &mut Vec<Out>) {
-        if self.read_only {
-            return;
-        }
-        if self.entering.is_some() {
-            return self.say_hello(now, out);
-        }
-        if self.role == Role::Leader {
-            if self.set.rules.check_quorum && !self.hears_majority(now) {
-                self.wait(now);
-                return self.follow(None, out);
-            }
-            return self.beat(out);
-        }
-        if now >= self.deadline {
-            self.campaign(now, out);
+    /// Sends a promise, once all writes requested so far are done.
+    fn send_when_durable(&mut self, to: &MemberId, body: MessageBody, actions: &mut Vec<Action>) {
+        let message = self.message(to, self.hard_state.term, body);
+        if self.is_durable() {
+            actions.push(Action::Send(message));
+        } else if self.delayed_messages.len() < MAX_DELAYED_MESSAGES {
+            self.delayed_messages.push_back(DelayedMessage { write: self.last_write, message });
         }
     }
 }
--- a/crates/fleet/src/quorum/replicate.rs
+++ b/crates/fleet/src/quorum/replicate.rs
@@ -1,208 +1,245 @@
-//! The log from the leader to the others: orders in, entries out, what is committed, and who leads in truth.
+//! Replication: the log from the leader to the others, what is committed, and whether a leader still leads.
 
 use super::log::Log;
 use super::{
-    Body, ENTRIES, Entry, LOG_MOST, OPEN_MOST, ORDER_BYTES, Order, Out, Place, READS_MOST, Record, Refused,
-    Role, Voter, pop_if,
+    Action, Command, Entry, LogPosition, LogRecord, MAX_COMMAND_BYTES, MAX_ENTRIES_PER_MESSAGE,
+    MAX_LOG_LENGTH, MAX_PENDING_READS, MAX_UNCOMMITTED, MessageBody, PendingRead, ProposeError, Role, Voter,
+    pop_front_if,
 };
 use crate::Micros;
 use crate::member::MemberId;
 
+/// Beyond this many times `MAX_LOG_LENGTH` no commands are taken until the log is compacted.
+const MAX_LOG_OVERRUN: u64 = 4;
+
 impl Voter {
-    pub(super) fn add(&mut self, order: Option<Order>, out: &mut Vec<Out>) {
-        let entry = Entry { term: self.hard.term, order };
+    pub(super) fn append_command(&mut self, command: Option<Command>, actions: &mut Vec<Action>) {
+        let entry = Entry { term: self.hard_state.term, command };
         let index = self.log.push(entry.clone());
-        self.save(vec![Record::Entry(index, entry)], out);
-        self.mind_length(out);
+        self.write(vec![LogRecord::Entry { index, entry }], actions);
+        self.request_compaction_if_long(actions);
     }
 
-    fn mind_length(&mut self, out: &mut Vec<Out>) {
-        if self.log.length() >= LOG_MOST && !std::mem::replace(&mut self.asked_to_compact, true) {
-            out.push(Out::Compact);
+    fn request_compaction_if_long(&mut self, actions: &mut Vec<Action>) {
+        let is_long = self.log.length() >= MAX_LOG_LENGTH;
+        if is_long && !std::mem::replace(&mut self.compaction_requested, true) {
+            actions.push(Action::Compact);
         }
     }
 
-    /// Takes an order, where it leads; the index that it will have, if it is committed in this term.
-    pub fn order(&mut self, order: Order, out: &mut Vec<Out>) -> Result<Place, Refused> {
+    /// Takes a command, where this voter leads, and returns the position that it will have if it is committed in this term.
+    ///
+    /// # Errors
+    /// Where this voter does not lead, the command is too long, or too many are uncommitted.
+    pub fn propose(
+        &mut self,
+        command: Command,
+        actions: &mut Vec<Action>,
+    ) -> Result<LogPosition, ProposeError> {
         if self.role != Role::Leader {
-            return Err(Refused::NotLeader(self.leader.clone()));
+            return Err(ProposeError::NotLeader(self.leader.clone()));
         }
-        if order.body.len() > ORDER_BYTES {
-            return Err(Refused::TooLong);
+        if command.body.len() > MAX_COMMAND_BYTES {
+            return Err(ProposeError::TooLong);
         }
-        if self.log.last().index - self.commit >= OPEN_MOST || self.log.length() >= LOG_MOST * 4 {
-            return Err(Refused::Busy);
+        let uncommitted = self.log.last().index - self.commit_index;
+        if uncommitted >= MAX_UNCOMMITTED || self.log.length() >= MAX_LOG_LENGTH * MAX_LOG_OVERRUN {
+            return Err(ProposeError::Busy);
         }
-        self.add(Some(order), out);
+        self.append_command(Some(command), actions);
         for to in self.others() {
-            self.send_entries(&to, out);
+            self.send_entries(&to, actions);
         }
         Ok(self.log.last())
     }
 
-    /// Asks whether this one leads, in truth and not in its belief: the answer comes as [`Out::Confirmed`] by this ticket.
-    /// False: it does not, as far as it knows.
-    pub fn confirm(&mut self, ticket: u64, out: &mut Vec<Out>) -> bool {
+    /// Asks whether this voter leads, in truth and not in its belief: the answer comes as
+    /// [`Action::LeadershipConfirmed`] with this ticket. Returns false if it does not lead, as far as it knows.
+    pub fn confirm_leadership(&mut self, ticket: u64, actions: &mut Vec<Action>) -> bool {
         // Before it has committed something of its own it may not know what is committed.
-        let knows = self.log.term_at(self.commit) == Some(self.hard.term);
-        if self.role != Role::Leader || !knows || self.reads.len() >= READS_MOST {
+        let has_committed = self.log.term_at(self.commit_index) == Some(self.hard_state.term);
+        if self.role != Role::Leader || !has_committed || self.pending_reads.len() >= MAX_PENDING_READS {
             return false;
         }
-        self.reads.push_back((self.round + 1, ticket));
-        self.beat(out);
+        self.pending_reads.push_back(PendingRead { round: self.heartbeat_round + 1, ticket });
+        self.send_heartbeats(actions);
         true
     }
 
-    /// A heartbeat to all, with what each lacks.
-    pub fn beat(&mut self, out: &mut Vec<Out>) {
-        self.round += 1;
+    /// Sends a heartbeat to all, with the entries that each lacks.
+    pub fn send_heartbeats(&mut self, actions: &mut Vec<Action>) {
+        self.heartbeat_round += 1;
         for to in self.others() {
-            self.send_entries(&to, out);
+            self.send_entries(&to, actions);
         }
     }
 
-    fn send_entries(&mut self, to: &MemberId, out: &mut Vec<Out>) {
-        let Some(progress) = self.peers.get(to) else { return };
-        let (next, round) = (progress.next, self.round);
-        let Some(prev) = self.log.place(next - 1) else {
+    fn send_entries(&mut self, to: &MemberId, actions: &mut Vec<Action>) {
+        let Some(progress) = self.progress.get(to) else { return };
+        let (next, round) = (progress.next_index, self.heartbeat_round);
+        let Some(prev) = self.log.position(next - 1) else {
             let (last, state) = (self.log.base(), self.log.state().to_vec());
-            return self.say(to, Body::Snapshot { last, state, round }, out);
+            return self.send(to, MessageBody::InstallSnapshot { last, state, round }, actions);
         };
-        let entries = self.log.from(next, ENTRIES);
-        // The next letter goes on behind these; a lost one is found by the answer to that.
-        let sent = next + entries.len() as u64;
-        if let Some(progress) = self.peers.get_mut(to) {
-            progress.next = sent;
-        }
-        self.say(to, Body::Append { prev, entries, commit: self.commit, round }, out);
+        let entries = self.log.entries_from(next, MAX_ENTRIES_PER_MESSAGE);
+        // The next message goes on behind these; a lost one is found by the answer to that.
+        let sent_up_to = next + entries.len() as u64;
+        if let Some(progress) = self.progress.get_mut(to) {
+            progress.next_index = sent_up_to;
+        }
+        let commit = self.commit_index;
+        self.send(to, MessageBody::AppendEntries { prev, entries, commit, round }, actions);
     }
 
-    pub(super) fn append(
+    pub(super) fn handle_append_entries(
         &mut self,
         from: &MemberId,
-        prev: Place,
+        prev: LogPosition,
         entries: Vec<Entry>,
         commit: u64,
         round: u64,
-        out: &mut Vec<Out>,
+        actions: &mut Vec<Action>,
     ) {
         let base = self.log.base().index;
         // What the snapshot holds is committed, and so the same.
-        let known = prev.index < base || self.log.term_at(prev.index) == Some(prev.term);
-        if !known {
+        let is_known = prev.index < base || self.log.term_at(prev.index) == Some(prev.term);
+        if !is_known {
             let index = self.log.last().index.min(prev.index.saturating_sub(1));
-            return self.say(from, Body::Appended { matches: false, index, round }, out);
+            let response = MessageBody::AppendResponse { matches: false, index, round };
+            return self.send(from, response, actions);
         }
         let end = prev.index + entries.len() as u64;
+        let records = self.merge_entries(prev.index + 1, entries);
+        if !records.is_empty() {
+            self.write(records, actions);
+        }
+        self.apply_up_to(commit.min(end), actions);
+        self.request_compaction_if_long(actions);
+        let response = MessageBody::AppendResponse { matches: true, index: end, round };
+        self.send_when_durable(from, response, actions);
+    }
+
+    /// Puts the leader's entries into the log, from an index on, and returns the records to write.
+    fn merge_entries(&mut self, first: u64, entries: Vec<Entry>) -> Vec<LogRecord> {
+        let base = self.log.base().index;
         let mut records = Vec::new();
-        for (index, entry) in (prev.index + 1..).zip(entries) {
+        for (index, entry) in (first..).zip(entries) {
             if index <= base || self.log.term_at(index) == Some(entry.term) {
                 continue;
             }
             if index <= self.log.last().index {
-                self.log.cut(index);
-                self.durable = self.durable.min(index - 1);
-                self.ends.iter_mut().for_each(|(_, end)| *end = (*end).min(index - 1));
+                self.truncate_log(index);
             }
             self.log.push(entry.clone());
-            records.push(Record::Entry(index, entry));
+            records.push(LogRecord::Entry { index, entry });
         }
-        if !records.is_empty() {
-            self.save(records, out);
+        records
+    }
+
+    /// Drops all entries from an index on.
+    fn truncate_log(&mut self, index: u64) {
+        self.log.truncate(index);
+        self.durable_index = self.durable_index.min(index - 1);
+        for write in &mut self.pending_writes {
+            write.last_index = write.last_index.min(index - 1);
         }
-        self.apply_to(commit.min(end), out);
-        self.mind_length(out);
-        self.promise(from, Body::Appended { matches: true, index: end, round }, out);
     }
 
-    pub(super) fn take_snapshot(
+    pub(super) fn handle_snapshot(
         &mut self,
         from: &MemberId,
-        last: Place,
+        last: LogPosition,
         state: Vec<u8>,
         round: u64,
-        out: &mut Vec<Out>,
+        actions: &mut Vec<Action>,
     ) {
-        if last.index > self.commit {
-            // What it holds behind the place may be acknowledged: a snapshot that comes late voids none of it.
-            let whole = self.log.place(last.index) != Some(last);
-            if whole {
-                self.log = Log::starting(last, state.clone());
+        if last.index > self.commit_index {
+            // What it holds behind the position may be acknowledged: a snapshot that comes late voids none of it.
+            let replaces_log = self.log.position(last.index) != Some(last);
+            if replaces_log {
+                self.log = Log::from_snapshot(last, state.clone());
             } else {
                 self.log.compact(last, state.clone());
             }
-            self.commit = last.index;
-            self.save(vec![Record::Snapshot { last, state: state.clone(), whole }], out);
-            out.push(Out::Restore(last.index, state));
+            self.commit_index = last.index;
+            self.write(vec![LogRecord::Snapshot { last, state: state.clone(), replaces_log }], actions);
+            actions.push(Action::Restore { index: last.index, state });
         }
-        let index = last.index;
-        self.promise(from, Body::Appended { matches: true, index, round }, out);
+        let response = MessageBody::AppendResponse { matches: true, index: last.index, round };
+        self.send_when_durable(from, response, actions);
     }
 
-    pub(super) fn appended(
+    pub(super) fn handle_append_response(
         &mut self,
         now: Micros,
         from: MemberId,
         matches: bool,
         index: u64,
         round: u64,
-        out: &mut Vec<Out>,
+        actions: &mut Vec<Action>,
     ) {
         let last = self.log.last().index;
-        if let Some(place) = self.remembered.get_mut(&from).filter(|_| matches) {
-            place.index = place.index.max(index);
+        if let Some(remembered) = self.remembered.get_mut(&from).filter(|_| matches) {
+            remembered.index = remembered.index.max(index);
         }
-        let Some(progress) = self.peers.get_mut(&from) else { return };
-        progress.heard = now;
-        progress.round = progress.round.max(round);
+        let Some(progress) = self.progress.get_mut(&from) else { return };
+        progress.last_heard_at = now;
+        progress.acked_round = progress.acked_round.max(round);
         if matches {
-            progress.matched = progress.matched.max(index.min(last));
-            progress.next = progress.next.max(progress.matched + 1);
+            progress.match_index = progress.match_index.max(index.min(last));
+            progress.next_index = progress.next_index.max(progress.match_index + 1);
         } else {
-            progress.next = (index + 1).clamp(progress.matched + 1, last + 1);
+            progress.next_index = (index + 1).clamp(progress.match_index + 1, last + 1);
         }
-        if progress.next <= last {
-            self.send_entries(&from, out);
+        if progress.next_index <= last {
+            self.send_entries(&from, actions);
         }
-        self.commit_more(out);
-        self.confirm_reads(out);
+        self.advance_commit(actions);
+        self.confirm_pending_reads(actions);
     }
 
-    pub(super) fn commit_more(&mut self, out: &mut Vec<Out>) {
-        let own = if self.set.rules.disk_first { self.durable } else { self.log.last().index };
-        let mut matched: Vec<u64> = self.peers.values().map(|p| p.matched).chain([own]).collect();
-        matched.sort_unstable_by(|a, b| b.cmp(a));
-        let index = matched[self.majority() - 1];
+    /// Commits what a majority holds.
+    pub(super) fn advance_commit(&mut self, actions: &mut Vec<Action>) {
+        let waits_for_disk = self.config.checks.durable_before_send;
+        let own = if waits_for_disk { self.durable_index } else { self.log.last().index };
+        let matched = self.progress.values().map(|progress| progress.match_index);
+        let index = self.held_by_majority(matched.chain([own]).collect());
         // Only entries of its own term are committed by counting (Raft, figure 8).
-        if index > self.commit && self.log.term_at(index) == Some(self.hard.term) {
-            self.apply_to(index, out);
+        if index > self.commit_index && self.log.term_at(index) == Some(self.hard_state.term) {
+            self.apply_up_to(index, actions);
         }
     }
 
-    fn confirm_reads(&mut self, out: &mut Vec<Out>) {
-        let mut rounds: Vec<u64> = self.peers.values().map(|p| p.round).chain([self.round]).collect();
-        rounds.sort_unstable_by(|a, b| b.cmp(a));
-        let round = rounds[self.majority() - 1];
-        while let Some((_, ticket)) = pop_if(&mut self.reads, |(asked, _)| *asked <= round) {
-            out.push(Out::Confirmed(ticket));
+    fn confirm_pending_reads(&mut self, actions: &mut Vec<Action>) {
+        let acked = self.progress.values().map(|progress| progress.acked_round);
+        let round = self.held_by_majority(acked.chain([self.heartbeat_round]).collect());
+        while let Some(read) = pop_front_if(&mut self.pending_reads, |read| read.round <= round) {
+            actions.push(Action::LeadershipConfirmed { ticket: read.ticket });
         }
     }
 
-    fn apply_to(&mut self, index: u64, out: &mut Vec<Out>) {
+    /// The highest number that a majority of the voters has reached; one number a voter.
+    fn held_by_majority(&self, mut numbers: Vec<u64>) -> u64 {
+        numbers.sort_unstable_by(|a, b| b.cmp(a));
+        numbers[self.majority() - 1]
+    }
+
+    fn apply_up_to(&mut self, index: u64, actions: &mut Vec<Action>) {
         let last = self.log.last().index;
-        while self.commit < index.min(last) {
-            self.commit += 1;
-            if let Some(entry) = self.log.entry(self.commit) {
-                out.push(Out::Apply(self.commit, entry.clone()));
+        while self.commit_index < index.min(last) {
+            self.commit_index += 1;
+            if let Some(entry) = self.log.entry(self.commit_index) {
+                actions.push(Action::Apply { index: self.commit_index, entry: entry.clone() });
             }
         }
     }
 
-    /// The machine's state up to an index that it has applied: what the log holds up to there may go.
-    pub fn compact(&mut self, index: u64, state: Vec<u8>, out: &mut Vec<Out>) {
-        self.asked_to_compact = false;
-        let Some(last) = self.log.place(index).filter(|p| p.index <= self.commit) else { return };
+    /// Takes the state machine's state up to an index that it has applied: what the log holds up to there is dropped.
+    pub fn compact(&mut self, index: u64, state: Vec<u8>, actions: &mut Vec<Action>) {
+        self.compaction_requested = false;
+        let committed = self.log.position(index).filter(|position| position.index <= self.commit_index);
+        let Some(last) = committed else { return };
         self.log.compact(last, state.clone());
-        self.save(vec![Record::Snapshot { last, state, whole: false }], out);
+        self.write(vec![LogRecord::Snapshot { last, state, replaces_log: false }], actions);
     }
 }
--- a/crates/fleet/src/quorum/types.rs
+++ b/crates/fleet/src/quorum/types.rs
@@ -1,4 +1,5 @@
-//! What voters say, keep and are started with.
+//! What voters send, keep and are started with. The order of fields and variants is the format of messages and of the
+//! write-ahead log; it never changes.
 
 use std::collections::BTreeMap;
 
@@ -8,32 +9,32 @@
 use crate::Micros;
 use crate::member::MemberId;
 
-/// A place in the log: the later term is further, and in one term the higher index.
+/// A position in the log: the later term is further, and in one term the higher index.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Place {
+pub struct LogPosition {
     /// The entry's term.
     pub term: u64,
     /// Its index; the first entry has 1.
     pub index: u64,
 }
 
-/// A voter's start: the number grows from one to the next, the nonce parts two that took the same number.
+/// One start of a voter's process: the number grows from one to the next, the nonce distinguishes two that took the same number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Life {
+pub struct Incarnation {
     /// Above that of every earlier start that was heard of.
     pub number: u64,
     /// Drawn anew at each start.
     pub nonce: u64,
 }
 
-/// An order of a client: carried out at most once, by session and sequence.
+/// A client's command: carried out at most once, by session and sequence number.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Order {
-    /// The client's start.
+pub struct Command {
+    /// The client's session, one a start.
     pub session: u64,
     /// Its number there, growing.
     pub seq: u64,
-    /// What is ordered; the log does not read it.
+    /// What is to be done; the log does not read it.
     pub body: Vec<u8>,
 }
 
@@ -42,247 +43,297 @@
 pub struct Entry {
     /// The term of the leader that took it.
     pub term: u64,
-    /// `None`: a leader's first, with which it learns what is committed.
-    pub order: Option<Order>,
+    /// `None`: a leader's first entry, by which it learns what is committed.
+    pub command: Option<Command>,
 }
 
 /// What a voter has to remember besides its log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Hard {
+pub struct HardState {
     /// The highest term that it took part in.
     pub term: u64,
     /// Whom it voted for in that term.
-    pub vote: Option<MemberId>,
-    /// The latest start of each voter that it knows.
-    pub lives: BTreeMap<MemberId, Life>,
+    pub voted_for: Option<MemberId>,
+    /// The latest incarnation of each voter that it knows.
+    pub incarnations: BTreeMap<MemberId, Incarnation>,
 }
 
-/// What is to be written, in order; the write is done when all of it is on disk.
+/// A record of the write-ahead log. Records are written in order; a write is done when all of its records are on disk.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Record {
-    /// In place of the one before.
-    Hard(Hard),
-    /// An entry, at its index. Whatever was there or behind is void.
-    Entry(u64, Entry),
-    /// All up to this place, as the machine's state. Whatever the log held is void, up to the place or, where `whole`, at all.
+pub enum LogRecord {
+    /// Replaces the hard state before.
+    HardState(HardState),
+    /// An entry. Whatever was at its index or behind is void.
+    Entry {
+        /// Its index.
+        index: u64,
+        /// The entry.
+        entry: Entry,
+    },
+    /// The state machine's state. What the log held up to `last` is void.
     Snapshot {
-        /// The last place that it holds.
-        last: Place,
-        /// The machine's state.
+        /// The last position that the state includes.
+        last: LogPosition,
+        /// The state.
         state: Vec<u8>,
-        /// Entries behind it are void too.
-        whole: bool,
+        /// Entries behind `last` are void too.
+        replaces_log: bool,
     },
 }
 
-/// What one voter writes to another.
+/// A message from one voter to another.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Letter {
-    /// Who writes.
+pub struct Message {
+    /// The sender.
     pub from: MemberId,
-    /// To whom.
+    /// The receiver.
     pub to: MemberId,
-    /// The writer's term; with `Ask { pre: true }` the term that it would begin.
+    /// The sender's term; in a pre-vote request the term that it would begin.
     pub term: u64,
-    /// The latest lives that the writer knows, its own among them.
-    pub lives: BTreeMap<MemberId, Life>,
+    /// The latest incarnations that the sender knows, its own among them.
+    pub incarnations: BTreeMap<MemberId, Incarnation>,
     /// What it says.
-    pub body: Body,
+    pub body: MessageBody,
 }
 
-/// What a letter says.
+/// What a message says.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Body {
-    /// Give me your vote; `pre`: would you.
-    Ask {
-        /// A question only: nothing is promised.
-        pre: bool,
-        /// The end of the writer's log.
-        last: Place,
+pub enum MessageBody {
+    /// Asks for a vote.
+    RequestVote {
+        /// A pre-vote: asks only whether the vote would be given, and nothing is promised.
+        is_pre_vote: bool,
+        /// The end of the sender's log.
+        last: LogPosition,
     },
-    /// The answer.
-    Vote {
-        /// To which of the two questions.
-        pre: bool,
-        /// Whether.
+    /// Answers `RequestVote`.
+    VoteResponse {
+        /// Which of the two questions is answered.
+        is_pre_vote: bool,
+        /// The vote is given.
         granted: bool,
     },
-    /// Entries of the leader's, or none: a heartbeat.
-    Append {
-        /// The place before them.
-        prev: Place,
+    /// The leader's entries, or none: a heartbeat.
+    AppendEntries {
+        /// The position before them.
+        prev: LogPosition,
         /// The entries.
         entries: Vec<Entry>,
-        /// What is committed.
+        /// The leader's commit index.
         commit: u64,
-        /// ClassCounters the leader's heartbeats.
+        /// Counts the leader's heartbeats.
         round: u64,
     },
-    /// All up to a place, for one that is further behind than the log reaches.
-    Snapshot {
-        /// The place.
-        last: Place,
-        /// The machine's state.
+    /// The state up to a position, for a voter that is further behind than the leader's log reaches.
+    InstallSnapshot {
+        /// The position.
+        last: LogPosition,
+        /// The state machine's state.
         state: Vec<u8>,
-        /// As above.
+        /// Counts the leader's heartbeats.
         round: u64,
     },
-    /// The answer to both: the log is the leader's up to this index (`matches`), or reaches only so far.
-    Appended {
-        /// Whether it matches.
+    /// Answers `AppendEntries` and `InstallSnapshot`.
+    AppendResponse {
+        /// The sender's log is the leader's up to `index`; else it reaches only so far.
         matches: bool,
         /// The index.
         index: u64,
         /// The heartbeat that is answered.
         round: u64,
     },
-    /// A voter has started: how far are you?
-    Hello,
-    /// The answer.
-    Welcome {
-        /// The furthest place that the writer holds or has to respect.
-        last: Place,
+    /// A voter has started and asks how far the others are.
+    RejoinRequest,
+    /// Answers `RejoinRequest`.
+    RejoinResponse {
+        /// The furthest position that the sender holds or has promised.
+        promised: LogPosition,
         /// The end of its log.
-        holds: Place,
-        /// It has re-entered itself.
-        entered: bool,
-        /// What it remembers of the asker: the highest term and index that it heard of it.
-        yours: Place,
+        last: LogPosition,
+        /// It has rejoined itself.
+        has_rejoined: bool,
+        /// The highest term and index that it has heard of the asker.
+        remembered: LogPosition,
     },
 }
 
-/// Rules that can be taken out, so that the checkers are seen to need them. All are in force but in tests.
+/// Parts of the protocol that tests take out, so that the checkers are seen to need them. All are in force otherwise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Rules {
+pub struct SafetyChecks {
     /// A voter asks before it raises its term, and nobody answers who hears a leader.
     pub pre_vote: bool,
     /// A leader that does not hear a majority steps down.
     pub check_quorum: bool,
-    /// Each start is a re-entry.
-    pub reentry: bool,
-    /// What an earlier life promised counts no more.
-    pub lives: bool,
-    /// A promise leaves only once it is on disk.
-    pub disk_first: bool,
+    /// Each start goes through the rejoin protocol.
+    pub rejoin: bool,
+    /// What an earlier incarnation promised counts no more.
+    pub incarnations: bool,
+    /// A promise is sent only once it is on disk.
+    pub durable_before_send: bool,
 }
 
-impl Default for Rules {
-    fn default() -> Rules {
-        Rules { pre_vote: true, check_quorum: true, reentry: true, lives: true, disk_first: true }
+impl Default for SafetyChecks {
+    fn default() -> SafetyChecks {
+        SafetyChecks {
+            pre_vote: true,
+            check_quorum: true,
+            rejoin: true,
+            incarnations: true,
+            durable_before_send: true,
+        }
     }
 }
 
 /// What a voter is started with.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Setup {
+pub struct Config {
     /// Its id.
     pub id: MemberId,
     /// All voters, itself among them.
     pub voters: Vec<MemberId>,
     /// A voter that hears no leader for so long, and up to twice as long, asks for votes.
-    pub election: Micros,
+    pub election_timeout: Micros,
     /// Drawn anew at each start.
     pub nonce: u64,
-    /// A folder that is there and whole is believed: the voter takes part at once, and a folder that was put back is not noticed.
+    /// A folder that is there and intact is believed: the voter takes part at once, and an older copy put back is not noticed.
     pub trust_disk: bool,
     /// What is in force.
-    pub rules: Rules,
+    pub checks: SafetyChecks,
 }
 
 /// What the disk held at the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Held {
-    /// Term, vote and lives.
-    pub hard: Hard,
+pub struct RecoveredState {
+    /// Term, vote and incarnations.
+    pub hard_state: HardState,
     /// The log.
     pub log: Log,
-    /// The furthest place that is known to have been there, also where it does not read any more.
-    pub promise: Place,
-    /// Something was there, and all of it reads.
-    pub whole: bool,
+    /// The furthest position that is known to have been there, also where it cannot be read any more.
+    pub promised: LogPosition,
+    /// Something was there, and all of it was readable.
+    pub is_intact: bool,
 }
 
-/// What a voter does.
+/// A voter's role in its term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Role {
     /// Follows a leader, or waits for one.
     Follower,
     /// Asks who would vote for it.
-    Asking,
+    PreCandidate,
     /// Asks for votes.
     Candidate,
     /// Leads.
     Leader,
 }
 
-/// How a voter stands.
+/// Whether a voter takes part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Standing {
+pub enum VoterStatus {
     /// It takes part.
     Voting,
-    /// It may have forgotten what it promised: it has not been taken in since its start, or has not caught up with the furthest
-    /// place that it was told then. Until it has caught up it leads nobody, and votes only for who has.
+    /// It may have forgotten what it promised: it has not rejoined since its start, or has not caught up with the furthest
+    /// position that it was told then. Until it has caught up it leads nobody, and votes only for who has.
     Amnesiac,
     /// Its disk fails: it takes part no more until it is started anew.
     ReadOnly,
 }
 
-impl Standing {
-    /// As it is told.
+impl VoterStatus {
+    /// The name that operators read.
     pub fn name(self) -> &'static str {
         match self {
-            Standing::Voting => "voting",
-            Standing::Amnesiac => "amnesiac",
-            Standing::ReadOnly => "read-only",
+            VoterStatus::Voting => "voting",
+            VoterStatus::Amnesiac => "amnesiac",
+            VoterStatus::ReadOnly => "read-only",
         }
     }
 }
 
-/// What the voter wants done.
+/// What the voter wants done. Actions are carried out in order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Out {
-    /// Write these, in order, and say so by this number.
-    Write(u64, Vec<Record>),
-    /// A letter; it may be lost.
-    Send(Letter),
-    /// The entry of this index is committed.
-    Apply(u64, Entry),
-    /// The machine's state is this one, up to the index.
-    Restore(u64, Vec<u8>),
-    /// At the moment this was asked, and after it, this one led.
-    Confirmed(u64),
-    /// It cannot be told any more: ask again, maybe elsewhere.
-    Unconfirmed(u64),
-    /// The log is at its bound: take a snapshot.
+pub enum Action {
+    /// Write these records, and report it by [`handle_written`](super::Voter::handle_written) with this number.
+    Write {
+        /// The write's number; numbers grow.
+        number: u64,
+        /// The records.
+        records: Vec<LogRecord>,
+    },
+    /// Send a message; it may be lost.
+    Send(Message),
+    /// Apply a committed entry to the state machine.
+    Apply {
+        /// Its index.
+        index: u64,
+        /// The entry.
+        entry: Entry,
+    },
+    /// Replace the state machine's state.
+    Restore {
+        /// The last index that it includes.
+        index: u64,
+        /// The state.
+        state: Vec<u8>,
+    },
+    /// At the moment leadership was to be confirmed, and after it, this voter led.
+    LeadershipConfirmed {
+        /// The ticket of [`confirm_leadership`](super::Voter::confirm_leadership).
+        ticket: u64,
+    },
+    /// It cannot be confirmed any more: ask again, maybe another voter.
+    LeadershipUnconfirmed {
+        /// The ticket.
+        ticket: u64,
+    },
+    /// The log is at its bound: take a snapshot and call [`compact`](super::Voter::compact).
     Compact,
-    /// Something that staff may want to know.
-    Event(Event),
+    /// Something that operators may want to know.
+    Notify(Event),
 }
 
-/// What happened.
+/// What happened to a voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     /// It leads from now on.
-    Leads(u64),
-    /// It follows this one.
-    Follows(MemberId, u64),
+    BecameLeader {
+        /// The term.
+        term: u64,
+    },
+    /// It follows this leader.
+    FollowsLeader {
+        /// The leader.
+        leader: MemberId,
+        /// The term.
+        term: u64,
+    },
     /// It led, and does not any more.
-    StepsDown,
-    /// It has been taken in.
-    Entered,
-    /// Another remembers more of this voter than its disk does: the place there, and here.
-    Forgot(MemberId, Place, Place),
-    /// Another process lives under this id, or did a moment ago.
-    Twin(Life),
+    SteppedDown,
+    /// It has rejoined the voters after its start.
+    Rejoined,
+    /// Another voter remembers more of this one than its disk does.
+    StateLost {
+        /// The other.
+        reported_by: MemberId,
+        /// What the other remembers.
+        remembered: LogPosition,
+        /// What is held here.
+        held: LogPosition,
+    },
+    /// Another process votes under this id, or did a moment ago.
+    DuplicateId(Incarnation),
 }
 
-/// Why an order was not taken.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refused {
-    /// This one does not lead; the one that does, where it is known.
+/// Why a command was not taken.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ProposeError {
+    /// This voter does not lead; the one that does, where it is known.
+    #[error("this voter does not lead")]
     NotLeader(Option<MemberId>),
-    /// Too many are open.
+    /// Too many commands are uncommitted.
+    #[error("too many commands are uncommitted")]
     Busy,
-    /// It is longer than [`super::ORDER_BYTES`].
+    /// It is longer than [`super::MAX_COMMAND_BYTES`].
+    #[error("the command is longer than {} bytes", super::MAX_COMMAND_BYTES)]
     TooLong,
 }
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -10,8 +10,8 @@
 
 use serde::{Deserialize, Serialize};
 
+use crate::envelope::{MAX_ENVELOPE_BYTES, PeerMessage};
 use crate::member::{Life, MemberId, NAME_BYTES, News, Record, Stamp, State, UNKNOWN_BYTES};
-use crate::parcel::{PARCEL_BYTES, Parcel};
 
 /// The longest datagram.
 pub const DATAGRAM_BYTES: usize = 1_400;
@@ -22,7 +22,7 @@
 /// Most records of one frame.
 pub const RECORDS_MOST: usize = 1_100;
 const MAGIC: [u8; 2] = *b"cf";
-const PARCEL: [u8; 2] = *b"cp";
+const ENVELOPE_MAGIC: [u8; 2] = *b"cp";
 const VERSION: u8 = 1;
 const HEAD: usize = 3 + blake3::OUT_LEN;
 const FIELDS_MOST: usize = 32;
@@ -55,7 +55,7 @@
     pub from: Record,
     /// The nonce of the start that it is meant for; 0: not known.
     pub to: u64,
-    /// ClassCounters the sender's frames.
+    /// Counts the sender's frames.
     pub counter: u64,
     /// Which question this asks or answers.
     pub probe: u64,
@@ -124,19 +124,19 @@
     body.frame().ok_or(Drop::Cut)
 }
 
-/// A parcel as it goes out.
-pub fn encode_parcel(parcel: &Parcel, key: &Key) -> Vec<u8> {
-    sealed(PARCEL, &postcard::to_stdvec(parcel).unwrap_or_default(), key)
+/// A envelope as it goes out.
+pub fn encode_envelope(envelope: &PeerMessage, key: &Key) -> Vec<u8> {
+    sealed(ENVELOPE_MAGIC, &postcard::to_stdvec(envelope).unwrap_or_default(), key)
 }
 
-/// Reads a parcel.
-pub fn decode_parcel(bytes: &[u8], key: &Key) -> Result<Parcel, Drop> {
-    postcard::from_bytes(opened(PARCEL, bytes, PARCEL_BYTES, key)?).map_err(|_| Drop::Cut)
+/// Reads a envelope.
+pub fn decode_envelope(bytes: &[u8], key: &Key) -> Result<PeerMessage, Drop> {
+    postcard::from_bytes(opened(ENVELOPE_MAGIC, bytes, MAX_ENVELOPE_BYTES, key)?).map_err(|_| Drop::Cut)
 }
 
-/// Whether these bytes begin as a parcel does, and not as a frame of the view.
-pub fn is_parcel(bytes: &[u8]) -> bool {
-    bytes.starts_with(&PARCEL)
+/// Whether these bytes begin as a envelope does, and not as a frame of the view.
+pub fn is_envelope(bytes: &[u8]) -> bool {
+    bytes.starts_with(&ENVELOPE_MAGIC)
 }
 
 fn sealed(magic: [u8; 2], body: &[u8], key: &Key) -> Vec<u8> {
--- a/src/bin/cobaltspool-benchlink/main.rs
+++ b/src/bin/cobaltspool-simulator-adapter/main.rs
@@ -278,6 +278,6 @@
 }
 
 fn complain(what: &str) -> ExitCode {
-    eprintln!("cobaltspool-benchlink: {what}");
+    eprintln!("cobaltspool-simulator-adapter: {what}");
     ExitCode::FAILURE
 }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,18 +1,18 @@
-//! The fleet: how gatekeepers see each other. The decisions are `cobaltspool-fleet`'s, a crate without I/O; here are the
-//! section of the operators' file (`settings`), what staff read (`status`, pure), the sockets (`shell`, `stream`, `courier`), a voter's
-//! folder (`store`), what joins them to the log and to owned work (`council`), and the
-//! command line's question to a door (`ask`). Off unless the file has a `fleet` section: then no socket, task or table is
-//! there. The core knows none of it; it hears a number of gatekeepers.
+//! The fleet: how gatekeepers see each other and own resources. The decisions are `cobaltspool-fleet`'s, a crate without I/O; here
+//! are the section of the operators' file (`settings`), what operators read (`status`), the sockets (`shell`, `stream`,
+//! `peer_connections`), a voter's folder (`wal_writer`), what joins them to the consensus and the leases
+//! (`consensus_node`), and the command line's questions to the admin endpoint (`ask`). Off unless the file has a `fleet`
+//! section: then there is no socket, task or table. The core knows none of it; it is told a number of gatekeepers.
 
 pub mod ask;
-mod council;
-mod courier;
-#[cfg(feature = "faults")]
-mod for_tests;
+mod consensus_node;
+mod peer_connections;
 pub mod settings;
 mod shell;
 pub mod status;
-mod store;
 mod stream;
+#[cfg(feature = "faults")]
+mod test_effects;
+mod wal_writer;
 
 pub use shell::{Joined, join};
--- a/src/fleet/shell.rs
+++ b/src/fleet/shell.rs
@@ -19,13 +19,13 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
+use cobaltspool_fleet::envelope::{MAX_ENVELOPE_BYTES, PeerMessage};
+use cobaltspool_fleet::lease::{ProcessId, ResourceName};
 use cobaltspool_fleet::member::MemberId;
-use cobaltspool_fleet::owner::{Who, Work};
-use cobaltspool_fleet::parcel::{PARCEL_BYTES, Parcel};
 use tokio::sync::{Notify, mpsc};
 
-use super::council::{Council, Seat};
-use super::courier::Couriers;
+use super::consensus_node::{ConsensusNode, VoterConfig};
+use super::peer_connections::PeerConnections;
 use super::settings::Fleet;
 use super::status::{Dropped, Status};
 use super::stream;
@@ -41,12 +41,12 @@
 const STREAMS_IN: usize = 4;
 /// Streams held open to others, at most.
 const STREAMS_OUT: usize = 2;
-/// Streams of parcels held open by others, at most.
-const PARCELS_IN: usize = 64;
-/// A stream that brings no parcel for so long is closed.
-const PARCELS_IDLE: Duration = Duration::from_secs(30);
+/// Streams of messages held open by others, at most.
+const MAX_MESSAGE_STREAMS: usize = 64;
+/// A stream that brings no message for so long is closed.
+const MESSAGE_STREAM_IDLE: Duration = Duration::from_secs(30);
 /// An election timeout in periods.
-const ELECTION: u64 = 2;
+const ELECTION_PERIODS: u64 = 2;
 /// What is said on the way out is written within this.
 const LAST_WORDS: Duration = Duration::from_millis(100);
 /// Between tries to bind an address that another process has.
@@ -86,26 +86,26 @@
     /// Digest of the operators' file.
     ops: u64,
     address: Cell<SocketAddr>,
-    /// Its part among the voters, and in owning work; `None`: there are no voters.
-    council: Option<Council>,
-    couriers: Rc<Couriers>,
-    /// The council wants a tick before the one it asked for.
-    stir: Notify,
+    /// Its part among the voters, and in owning resources; `None`: there are no voters.
+    consensus: Option<ConsensusNode>,
+    peers: Rc<PeerConnections>,
+    /// Wakes the consensus node before the deadline it asked for.
+    consensus_wake: Notify,
     #[cfg(feature = "faults")]
-    trial: super::for_tests::Trial,
-    streams_of_parcels: Cell<usize>,
+    test_effects: super::test_effects::TestEffects,
+    message_streams: Cell<usize>,
 }
 
 impl operate::Fleet for Member {
     fn status(&self) -> String {
         let view = self.view.borrow();
-        let council = self.council.as_ref().map(|c| c.shown(self.now()));
-        let status = Status::of(&view, self.now(), self.set.period, self.dropped.get(), council);
+        let consensus = self.consensus.as_ref().map(|node| node.report(self.now()));
+        let status = Status::of(&view, self.now(), self.set.period, self.dropped.get(), consensus);
         serde_json::to_string(&status).unwrap_or_default()
     }
 
     fn log(&self) -> Option<String> {
-        serde_json::to_string(&self.council.as_ref()?.lines()).ok()
+        serde_json::to_string(&self.consensus.as_ref()?.recent_changes()).ok()
     }
 
     fn seen(&self) -> watch::Receiver<(Micros, Seen)> {
@@ -134,15 +134,15 @@
         || OsRng.try_next_u64().map_err(|e| format!("the fleet needs the system's random numbers: {e}"));
     let address = bound.as_ref().map_or(set.address, |b| b.address);
     let nonce = draw()? | 1;
-    let seat = (!set.voters.is_empty()).then(|| Seat {
-        who: Who { id: set.id.clone(), start: nonce },
+    let voter_config = (!set.voters.is_empty()).then(|| VoterConfig {
+        process: ProcessId { member: set.id.clone(), nonce },
         voters: set.voters.clone(),
-        state: set.state.clone(),
-        election: set.period * ELECTION,
+        folder: set.state.clone(),
+        election_timeout: set.period * ELECTION_PERIODS,
         lease: set.lease,
         trust_disk: set.trust_disk,
     });
-    let council = seat.map(|seat| Council::new(0, seat));
+    let consensus = voter_config.map(|config| ConsensusNode::new(0, config));
     let setup = Setup {
         id: set.id.clone(),
         zone: set.zone.as_str().into(),
@@ -164,18 +164,18 @@
         seen: watch::Sender::new((settling, Seen::default())),
         ops,
         address: Cell::new(address),
-        council,
-        couriers: Rc::default(),
-        stir: Notify::new(),
-        streams_of_parcels: Cell::new(0),
+        consensus,
+        peers: Rc::default(),
+        consensus_wake: Notify::new(),
+        message_streams: Cell::new(0),
         #[cfg(feature = "faults")]
-        trial: super::for_tests::Trial::asked_for(),
+        test_effects: super::test_effects::TestEffects::from_environment(),
         set,
     });
-    if let (Some(council), Some(release)) = (&member.council, Work::new("release")) {
-        council.wants(release);
+    if let (Some(consensus), Some(release)) = (&member.consensus, ResourceName::new("release")) {
+        consensus.want(release);
         #[cfg(feature = "faults")]
-        member.trial.join(council);
+        member.test_effects.want_resources(consensus);
     }
     desk.attend_fleet(member.clone());
     Ok(Joined { member, bound, desk: desk.clone() })
@@ -249,10 +249,10 @@
             () = self.hear(&bound.udp) => {}
             () = self.accept(&bound.tcp) => {}
             () = self.keep_time(desk) => {}
-            () = self.keep_council() => {}
+            () = self.run_consensus() => {}
         }
-        if let Some(council) = &self.council {
-            self.post(council.rise(self.now()));
+        if let Some(consensus) = &self.consensus {
+            self.post(consensus.hand_over(self.now()));
         }
         *self.udp.borrow_mut() = None;
     }
@@ -320,17 +320,17 @@
             }
             let (member, place) = (self.clone(), places.clone());
             tokio::task::spawn_local(async move {
-                // Who sends a parcel first goes on sending parcels, on a place of another kind.
-                let first = timeout(stream::WHOLE, stream::read(&mut stream, PARCEL_BYTES)).await;
+                // A peer that sends a message first goes on sending messages, under a bound of its own.
+                let first = timeout(stream::WHOLE, stream::read(&mut stream, MAX_ENVELOPE_BYTES)).await;
                 let Ok(Ok(Some(bytes))) = first else {
                     if matches!(first, Ok(Ok(None))) {
                         member.count(|d| d.oversized += 1);
                     }
                     return;
                 };
-                if wire::is_parcel(&bytes) {
+                if wire::is_envelope(&bytes) {
                     drop(place);
-                    return member.take_parcels(stream, bytes).await;
+                    return member.receive_messages(stream, bytes).await;
                 }
                 let whole = async {
                     let Some(frame) = member.read(&bytes, STREAM_BYTES) else { return Ok(()) };
@@ -353,21 +353,21 @@
         }
     }
 
-    async fn take_parcels(self: &Rc<Self>, mut stream: TcpStream, first: Vec<u8>) {
-        let Some(council) = &self.council else { return };
-        if self.streams_of_parcels.get() >= PARCELS_IN {
+    async fn receive_messages(self: &Rc<Self>, mut stream: TcpStream, first: Vec<u8>) {
+        let Some(consensus) = &self.consensus else { return };
+        if self.message_streams.get() >= MAX_MESSAGE_STREAMS {
             return self.count(|d| d.streams += 1);
         }
-        self.streams_of_parcels.set(self.streams_of_parcels.get() + 1);
+        self.message_streams.set(self.message_streams.get() + 1);
         let mut next = Some(first);
         while let Some(bytes) = next {
-            match wire::decode_parcel(&bytes, &self.set.key) {
+            match wire::decode_envelope(&bytes, &self.set.key) {
                 // One who stands by for a newer start under its id takes no part.
-                Ok(parcel) if self.view.borrow().active() => {
-                    let mut parcels = Vec::new();
-                    council.take(self.now(), parcel, &mut parcels);
-                    self.post(parcels);
-                    self.stir.notify_one();
+                Ok(message) if self.view.borrow().active() => {
+                    let mut outgoing = Vec::new();
+                    consensus.handle_message(self.now(), message, &mut outgoing);
+                    self.post(outgoing);
+                    self.consensus_wake.notify_one();
                 }
                 Ok(_) => self.count(|d| d.replayed += 1),
                 Err(why) => {
@@ -375,20 +375,20 @@
                     break;
                 }
             }
-            next = timeout(PARCELS_IDLE, stream::read(&mut stream, PARCEL_BYTES))
+            next = timeout(MESSAGE_STREAM_IDLE, stream::read(&mut stream, MAX_ENVELOPE_BYTES))
                 .await
                 .ok()
                 .and_then(Result::ok)
                 .flatten();
         }
-        self.streams_of_parcels.set(self.streams_of_parcels.get() - 1);
+        self.message_streams.set(self.message_streams.get() - 1);
     }
 
-    fn post(&self, parcels: Vec<Parcel>) {
-        for parcel in parcels {
-            let Some(address) = self.address_of(&parcel.to) else { continue };
-            let bytes = wire::encode_parcel(&parcel, &self.set.key);
-            if !self.couriers.send(&parcel.to, address, bytes) {
+    fn post(&self, outgoing: Vec<PeerMessage>) {
+        for message in outgoing {
+            let Some(address) = self.address_of(&message.to) else { continue };
+            let bytes = wire::encode_envelope(&message, &self.set.key);
+            if !self.peers.send(&message.to, address, bytes) {
                 self.count(|d| d.unsent += 1);
             }
         }
@@ -401,32 +401,32 @@
         self.set.via.get(id).copied().or_else(told).or_else(known)
     }
 
-    /// The council's time, and its disk's words.
-    async fn keep_council(self: &Rc<Self>) {
-        let Some(council) = &self.council else { return std::future::pending().await };
-        let (says, mut words) = mpsc::unbounded_channel();
-        let mut sits = self.now();
+    /// The consensus node's timer, and its disk's reports.
+    async fn run_consensus(self: &Rc<Self>) {
+        let Some(consensus) = &self.consensus else { return std::future::pending().await };
+        let (store_events, mut store_reports) = mpsc::unbounded_channel();
+        let mut next_start = self.now();
         loop {
-            let (now, mut parcels) = (self.now(), Vec::new());
-            if council.stands() && now >= sits {
+            let (now, mut outgoing) = (self.now(), Vec::new());
+            if consensus.is_missing_vote() && now >= next_start {
                 // A folder that another process has, maybe the older one of an upgrade, is tried again.
-                sits = now + self.set.period;
+                next_start = now + self.set.period;
                 let nonce = OsRng.try_next_u64().unwrap_or(now) | 1;
-                council.sit(now, nonce, says.clone(), &mut parcels);
+                consensus.start_voting(now, nonce, store_events.clone(), &mut outgoing);
             }
             let active = self.view.borrow().active();
-            let due = if active { council.tick(now, &mut parcels) } else { now + self.set.period };
-            self.post(parcels);
+            let due = if active { consensus.tick(now, &mut outgoing) } else { now + self.set.period };
+            self.post(outgoing);
             #[cfg(feature = "faults")]
-            self.trial.act(&self.set.id, || self.now(), council);
+            self.test_effects.send_effects(&self.set.id, || self.now(), consensus);
             let wait = due.saturating_sub(now).clamp(5_000, self.set.period / 4);
             tokio::select! {
                 () = sleep(Duration::from_micros(wait)) => {}
-                () = self.stir.notified() => {}
-                Some(word) = words.recv() => {
-                    let mut parcels = Vec::new();
-                    council.written(self.now(), word, &mut parcels);
-                    self.post(parcels);
+                () = self.consensus_wake.notified() => {}
+                Some(event) = store_reports.recv() => {
+                    let mut outgoing = Vec::new();
+                    consensus.handle_store_event(self.now(), event, &mut outgoing);
+                    self.post(outgoing);
                 }
             }
         }
@@ -530,8 +530,8 @@
     }
 
     fn leave(self: &Rc<Self>) {
-        if let Some(council) = &self.council {
-            self.post(council.puts_all_down(self.now()));
+        if let Some(consensus) = &self.consensus {
+            self.post(consensus.release_all(self.now()));
         }
         let mut out = Vec::new();
         self.view.borrow_mut().leave(self.now(), &mut out);
--- a/src/fleet/status.rs
+++ b/src/fleet/status.rs
@@ -80,9 +80,9 @@
     pub owner: Option<String>,
 }
 
-/// What the voters' part adds to the object.
+/// What the consensus adds to the object.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Council {
+pub struct Consensus {
     /// A majority is at work.
     pub majority: bool,
     /// This one as a voter.
@@ -161,7 +161,7 @@
         now: Micros,
         period: Micros,
         dropped: Dropped,
-        council: Option<Council>,
+        consensus: Option<Consensus>,
     ) -> Status {
         let members = view.members(now);
         let me = members.iter().find(|m| view.is_me(&m.id));
@@ -169,9 +169,9 @@
         Status {
             id: me.map(|m| m.id.to_string()).unwrap_or_default(),
             settled: view.settled(now),
-            majority: council.as_ref().map(|c| c.majority),
-            voter: council.as_ref().and_then(|c| c.voter.clone()),
-            owners: council.map(|c| c.owners).unwrap_or_default(),
+            majority: consensus.as_ref().map(|c| c.majority),
+            voter: consensus.as_ref().and_then(|c| c.voter.clone()),
+            owners: consensus.map(|c| c.owners).unwrap_or_default(),
             out: Vec::new(),
             release: None,
             stands_by: view.stands_by(),
--- a/src/operate/figures.rs
+++ b/src/operate/figures.rs
@@ -10,7 +10,7 @@
 /// What one front's core says of itself at one moment.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Figures {
-    /// ClassCounters by class, with the class's name.
+    /// Counters by class, with the class's name.
     pub classes: Vec<(String, ClassCounters)>,
     /// Calls taken and not yet ended.
     pub in_flight: usize,
--- a/src/platform/servers.rs
+++ b/src/platform/servers.rs
@@ -361,7 +361,7 @@
         }
     }
 
-    /// ClassCounters the set-ups whose last byte the system has taken.
+    /// Counts the set-ups whose last byte the system has taken.
     fn count_written(&mut self, id: LinkId) {
         let Some(link) = self.servers.links.get_mut(&id) else { return };
         while let Some((_, class)) =
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 
 fn run(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_cobaltspool-benchlink"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_cobaltspool-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -11,16 +11,16 @@
 
 use cobaltspool_fleet::member::State;
 use cobaltspool_fleet::wire::{self, Frame, Key, Kind};
-use cobaltspool_fleet_rig::Rig;
-use cobaltspool_fleet_rig::history::Seen;
-use cobaltspool_fleet_rig::link::Fault;
+use cobaltspool_fleet_testkit::TestFleet;
+use cobaltspool_fleet_testkit::history::Seen;
+use cobaltspool_fleet_testkit::link::Fault;
 use peers::site::*;
 use peers::*;
 use serde_json::{Value, json};
 
 /// Every one of these holds the member so.
-fn hold(rig: &Rig, seen: &[Option<Seen>], id: &str, state: &str) -> Result<(), String> {
-    let wrong = rig.members.iter().zip(seen).find(|(member, seen)| {
+fn hold(fleet: &TestFleet, seen: &[Option<Seen>], id: &str, state: &str) -> Result<(), String> {
+    let wrong = fleet.members.iter().zip(seen).find(|(member, seen)| {
         member.runs() && member.id != id && seen.as_ref().is_none_or(|s| s.state(id) != state)
     });
     wrong.map_or(Ok(()), |(member, seen)| {
@@ -32,16 +32,16 @@
 #[test]
 fn a_killed_member_is_down_and_its_next_start_is_alive() {
     let mut site = site(5, true);
-    let calls = Calls::at(&gates(&site.rig, [0, 1, 2, 4]));
+    let calls = Calls::at(&gates(&site.fleet, [0, 1, 2, 4]));
     // The fronts hear how many share the servers: one by the configuration, five by the view, in one step or several.
-    let told = site.rig.members[0].wait_for(" to=5");
+    let told = site.fleet.members[0].wait_for(" to=5");
     assert!(told.contains("gatekeepers that share the servers"), "{told}");
-    site.rig.kill(3);
-    let bound = site.rig.bound() + Duration::from_secs(10);
-    site.rig.until("n3 is down", bound, |rig, seen| hold(rig, seen, "n3", "down"));
-    site.rig.run(3);
-    site.rig.settles("n3 is back");
-    for seen in site.rig.look().into_iter().flatten() {
+    site.fleet.kill(3);
+    let bound = site.fleet.bound() + Duration::from_secs(10);
+    site.fleet.until("n3 is down", bound, |fleet, seen| hold(fleet, seen, "n3", "down"));
+    site.fleet.run(3);
+    site.fleet.settles("n3 is back");
+    for seen in site.fleet.look().into_iter().flatten() {
         assert_eq!(seen.member("n3")["incarnation"], 2, "above that of its first start");
     }
     calls.all_answered();
@@ -52,20 +52,20 @@
 #[test]
 fn a_stopped_member_doubts_itself_first() {
     let mut site = site(6, true);
-    let calls = Calls::at(&gates(&site.rig, [0, 1]));
+    let calls = Calls::at(&gates(&site.fleet, [0, 1]));
     for n in 3..6 {
-        site.rig.pause(n, true);
+        site.fleet.pause(n, true);
     }
-    let bound = site.rig.bound() + Duration::from_secs(10);
-    site.rig.until("half are down", bound, |rig, seen| {
-        ["n3", "n4", "n5"].iter().try_for_each(|id| hold(rig, seen, id, "down"))
+    let bound = site.fleet.bound() + Duration::from_secs(10);
+    site.fleet.until("half are down", bound, |fleet, seen| {
+        ["n3", "n4", "n5"].iter().try_for_each(|id| hold(fleet, seen, id, "down"))
     });
     for n in 3..6 {
-        site.rig.pause(n, false);
+        site.fleet.pause(n, false);
     }
-    site.rig.settles("they are back");
+    site.fleet.settles("they are back");
     for n in 3..6 {
-        let lines = site.rig.members[n].lines();
+        let lines = site.fleet.members[n].lines();
         assert!(lines.iter().any(|l| l.contains("missed time")), "{lines:#?}");
         let own = format!("by=n{n}");
         assert!(
@@ -82,23 +82,23 @@
 #[test]
 fn a_step_of_the_wall_clock_moves_nothing() {
     let mut site = site(5, true);
-    site.rig.kill(3);
-    site.rig.members[3].faults = "wall=return(-3600)".to_string();
-    site.rig.run(3);
-    site.rig.settles("one is an hour behind from its start on");
-    let calls = Calls::at(&gates(&site.rig, [0, 2, 3]));
-    let before: Vec<usize> = site.rig.members.iter().map(|m| m.lines().len()).collect();
+    site.fleet.kill(3);
+    site.fleet.members[3].faults = "wall=return(-3600)".to_string();
+    site.fleet.run(3);
+    site.fleet.settles("one is an hour behind from its start on");
+    let calls = Calls::at(&gates(&site.fleet, [0, 2, 3]));
+    let before: Vec<usize> = site.fleet.members.iter().map(|m| m.lines().len()).collect();
     for (n, by) in [(0, 3600), (1, -3600), (2, 7200), (0, -3600), (3, 0)] {
-        site.rig.members[n].fault("wall", &format!("return({by})"));
-        site.rig.go_on(PERIOD * 6);
+        site.fleet.members[n].fault("wall", &format!("return({by})"));
+        site.fleet.go_on(PERIOD * 6);
     }
-    for (member, before) in site.rig.members.iter().zip(before) {
+    for (member, before) in site.fleet.members.iter().zip(before) {
         let lines = member.lines().split_off(before);
         let doubts = |l: &String| ["suspect", "down", "missed time"].iter().any(|w| l.contains(w));
         assert!(!lines.iter().any(doubts), "{}: {lines:#?}", member.id);
     }
     calls.all_answered();
-    site.rig.settles("it is as it was");
+    site.fleet.settles("it is as it was");
     site.checked();
 }
 
@@ -106,10 +106,10 @@
 fn thirty_starts_in_a_row_leave_one_member() {
     let mut site = site(5, true);
     for _ in 0..30 {
-        site.rig.kill(2);
-        site.rig.run(2);
+        site.fleet.kill(2);
+        site.fleet.run(2);
     }
-    site.rig.settles("the last start is the member");
+    site.fleet.settles("the last start is the member");
     site.checked();
 }
 
@@ -124,15 +124,15 @@
             _ => vec![3],
         };
     });
-    let calls = Calls::at(&gates(&site.rig, [0, 1, 2, 4]));
+    let calls = Calls::at(&gates(&site.fleet, [0, 1, 2, 4]));
     let half = set([0, 1, 2]);
-    site.rig.links.cut(&half, &site.rig.links.rest(&half), true);
-    site.rig.history.disturb();
-    let bound = site.rig.bound() + Duration::from_secs(10);
-    site.rig.until("each half is alone", bound, |rig, seen| {
+    site.fleet.links.cut(&half, &site.fleet.links.rest(&half), true);
+    site.fleet.history.disturb();
+    let bound = site.fleet.bound() + Duration::from_secs(10);
+    site.fleet.until("each half is alone", bound, |fleet, seen| {
         for (n, seen) in seen.iter().enumerate() {
             let wanted: BTreeSet<String> =
-                rig.members[n / 3 * 3..n / 3 * 3 + 3].iter().map(|m| m.id.clone()).collect();
+                fleet.members[n / 3 * 3..n / 3 * 3 + 3].iter().map(|m| m.id.clone()).collect();
             let live =
                 seen.as_ref().map(|s| s.live().into_iter().map(str::to_string).collect::<BTreeSet<_>>());
             if live.as_ref() != Some(&wanted) {
@@ -141,15 +141,15 @@
         }
         Ok(())
     });
-    site.rig.until("each half has forgotten the other", bound, |_, seen| {
+    site.fleet.until("each half has forgotten the other", bound, |_, seen| {
         let most = seen.iter().flatten().map(|s| s.members.len()).max();
         if most == Some(3) { Ok(()) } else { Err(format!("{most:?} members are still listed")) }
     });
-    site.rig.kill(3);
-    site.rig.kill(5);
-    site.rig.links.heal();
-    site.rig.run(5);
-    site.rig.settles("the halves join");
+    site.fleet.kill(3);
+    site.fleet.kill(5);
+    site.fleet.links.heal();
+    site.fleet.run(5);
+    site.fleet.settles("the halves join");
     calls.all_answered();
     site.checked();
 }
@@ -159,24 +159,24 @@
 fn cuts_one_way_and_in_a_ring_settle_once_they_heal() {
     let mut site = site(5, true);
     let one = set([2]);
-    for (from, to) in [(one.clone(), site.rig.links.rest(&one)), (site.rig.links.rest(&one), one)] {
-        site.rig.links.cut(&from, &to, false);
-        site.rig.history.disturb();
-        let bound = site.rig.bound() + Duration::from_secs(10);
-        site.rig.until("it is found out", bound, |rig, seen| hold(rig, seen, "n2", "down"));
-        site.rig.links.heal();
-        site.rig.history.disturb();
-        site.rig.settles("it heals");
+    for (from, to) in [(one.clone(), site.fleet.links.rest(&one)), (site.fleet.links.rest(&one), one)] {
+        site.fleet.links.cut(&from, &to, false);
+        site.fleet.history.disturb();
+        let bound = site.fleet.bound() + Duration::from_secs(10);
+        site.fleet.until("it is found out", bound, |fleet, seen| hold(fleet, seen, "n2", "down"));
+        site.fleet.links.heal();
+        site.fleet.history.disturb();
+        site.fleet.settles("it heals");
     }
     for a in 0..5 {
         let far = set((0..5).filter(|b| ![a, (a + 1) % 5, (a + 4) % 5].contains(b)));
-        site.rig.links.cut(&set([a]), &far, false);
+        site.fleet.links.cut(&set([a]), &far, false);
     }
-    let time = site.rig.bound();
-    site.rig.go_on(time);
-    site.rig.links.heal();
-    site.rig.history.disturb();
-    site.rig.settles("the ring closes");
+    let time = site.fleet.bound();
+    site.fleet.go_on(time);
+    site.fleet.links.heal();
+    site.fleet.history.disturb();
+    site.fleet.settles("the ring closes");
     site.checked();
 }
 
@@ -184,12 +184,12 @@
 #[test]
 fn who_is_reached_by_way_of_another_is_not_dead() {
     let mut site = site(3, true);
-    site.rig.links.cut(&set([0]), &set([2]), true);
-    let time = site.rig.bound() * 2;
-    site.rig.go_on(time);
-    assert_eq!((site.rig.history.deaths("n0"), site.rig.history.deaths("n2")), (0, 0));
+    site.fleet.links.cut(&set([0]), &set([2]), true);
+    let time = site.fleet.bound() * 2;
+    site.fleet.go_on(time);
+    assert_eq!((site.fleet.history.deaths("n0"), site.fleet.history.deaths("n2")), (0, 0));
     let suspicions =
-        |n: usize| site.rig.members[n].lines().iter().filter(|l| l.contains("suspect member=")).count();
+        |n: usize| site.fleet.members[n].lines().iter().filter(|l| l.contains("suspect member=")).count();
     // Some twenty each in so many periods, were it not for B.
     assert!(suspicions(0) + suspicions(2) < 8, "{} and {}", suspicions(0), suspicions(2));
     site.checked();
@@ -199,17 +199,17 @@
 #[test]
 fn no_death_is_told_under_loss_and_delay() {
     let mut site = site(5, true);
-    let calls = Calls::at(&gates(&site.rig, 0..5));
+    let calls = Calls::at(&gates(&site.fleet, 0..5));
     // The period is a quarter of what it is in service, so the delay is too.
     let delay = Duration::from_millis(25);
-    site.rig.links.set_all(Fault { loss: 0.2, doubled: 0.1, delay, ..Fault::default() });
-    let time = site.rig.bound() * 3;
-    site.rig.go_on(time);
+    site.fleet.links.set_all(Fault { loss: 0.2, doubled: 0.1, delay, ..Fault::default() });
+    let time = site.fleet.bound() * 3;
+    site.fleet.go_on(time);
     for n in 0..5 {
-        assert_eq!(site.rig.history.deaths(&format!("n{n}")), 0, "n{n}");
+        assert_eq!(site.fleet.history.deaths(&format!("n{n}")), 0, "n{n}");
     }
-    site.rig.links.heal();
-    site.rig.settles("all the same");
+    site.fleet.links.heal();
+    site.fleet.settles("all the same");
     calls.all_answered();
     site.checked();
 }
@@ -219,16 +219,16 @@
 #[test]
 fn stalled_and_dripping_streams_hold_nothing_up() {
     let mut site = site(5, true);
-    let calls = Calls::at(&gates(&site.rig, 0..4));
+    let calls = Calls::at(&gates(&site.fleet, 0..4));
     for fault in [Fault { stalled: true, ..Fault::default() }, Fault { dripping: true, ..Fault::default() }] {
-        site.rig.links.set_all(fault);
-        site.rig.kill(4);
-        let bound = site.rig.bound() + Duration::from_secs(10);
-        site.rig.until("n4 is down", bound, |rig, seen| hold(rig, seen, "n4", "down"));
-        site.rig.run(4);
-        site.rig.settles("n4 is back by datagrams alone");
+        site.fleet.links.set_all(fault);
+        site.fleet.kill(4);
+        let bound = site.fleet.bound() + Duration::from_secs(10);
+        site.fleet.until("n4 is down", bound, |fleet, seen| hold(fleet, seen, "n4", "down"));
+        site.fleet.run(4);
+        site.fleet.settles("n4 is back by datagrams alone");
         let asked = Instant::now();
-        assert_eq!(site.rig.members[0].ask("GET", "/control/ready").map(|a| a.0), Some(200));
+        assert_eq!(site.fleet.members[0].ask("GET", "/control/ready").map(|a| a.0), Some(200));
         assert!(asked.elapsed() < Duration::from_secs(1), "{:?}", asked.elapsed());
     }
     calls.all_answered();
@@ -239,33 +239,33 @@
 #[test]
 fn a_leave_is_no_death_and_a_death_on_the_way_out_is_no_leave() {
     let mut site = site(5, true);
-    assert_eq!(site.rig.members[1].ask("PUT", "/control/out-of-service").map(|a| a.0), Some(200));
-    let drains = |_: &Rig, seen: &[Option<Seen>]| {
+    assert_eq!(site.fleet.members[1].ask("PUT", "/control/out-of-service").map(|a| a.0), Some(200));
+    let drains = |_: &TestFleet, seen: &[Option<Seen>]| {
         let all = seen
             .iter()
             .flatten()
             .all(|s| s.member("n1")["draining"] == true && s.member("n1")["ready"] == false);
         if all { Ok(()) } else { Err("not everybody knows that n1 drains".to_string()) }
     };
-    site.rig.until("a drain is seen everywhere", Duration::from_secs(20), drains);
-    assert_eq!(site.rig.members[1].ask("PUT", "/control/in-service").map(|a| a.0), Some(200));
-    site.rig.terminate(4);
-    let bound = site.rig.bound() + Duration::from_secs(10);
-    site.rig.until("n4 has left", bound, |rig, seen| hold(rig, seen, "n4", "left"));
-    assert_eq!(site.rig.history.deaths("n4"), 0);
+    site.fleet.until("a drain is seen everywhere", Duration::from_secs(20), drains);
+    assert_eq!(site.fleet.members[1].ask("PUT", "/control/in-service").map(|a| a.0), Some(200));
+    site.fleet.terminate(4);
+    let bound = site.fleet.bound() + Duration::from_secs(10);
+    site.fleet.until("n4 has left", bound, |fleet, seen| hold(fleet, seen, "n4", "left"));
+    assert_eq!(site.fleet.history.deaths("n4"), 0);
     // A call that stands holds n3's end up, and it is killed before it has left.
-    let mut caller = Lines::connect(gates(&site.rig, [3])[0][0]);
+    let mut caller = Lines::connect(gates(&site.fleet, [3])[0][0]);
     caller.start("00000000000000aa", 9000, 0);
     caller.expect("STARTED");
-    site.rig.members[3].told_to_end();
-    let leaves = |_: &Rig, seen: &[Option<Seen>]| {
+    site.fleet.members[3].told_to_end();
+    let leaves = |_: &TestFleet, seen: &[Option<Seen>]| {
         let known =
             seen.iter().flatten().any(|s| s.object["id"] != "n3" && s.member("n3")["leaving"] == true);
         if known { Ok(()) } else { Err("nobody knows that n3 leaves".to_string()) }
     };
-    site.rig.until("n3 is on its way out", Duration::from_secs(20), leaves);
-    site.rig.kill(3);
-    site.rig.until("n3 is down", bound, |rig, seen| hold(rig, seen, "n3", "down"));
+    site.fleet.until("n3 is on its way out", Duration::from_secs(20), leaves);
+    site.fleet.kill(3);
+    site.fleet.until("n3 is down", bound, |fleet, seen| hold(fleet, seen, "n3", "down"));
     site.checked();
 }
 
@@ -276,27 +276,27 @@
     let mut site = site(4, false);
     for stopped in [false, true] {
         if stopped {
-            site.rig.pause(2, true);
+            site.fleet.pause(2, true);
         }
-        let twin = site.rig.twin(2, 1);
+        let twin = site.fleet.twin(2, 1);
         if stopped {
-            let time = site.rig.bound();
-            site.rig.go_on(time);
-            site.rig.pause(2, false);
+            let time = site.fleet.bound();
+            site.fleet.go_on(time);
+            site.fleet.pause(2, false);
         }
-        site.rig.settles("one of the two speaks");
-        let seen = site.rig.look();
+        site.fleet.settles("one of the two speaks");
+        let seen = site.fleet.look();
         let of = |n: usize| seen[n].as_ref().unwrap();
         assert!(of(2).stands_by && !of(twin).stands_by, "the newer start is the member");
-        assert!(of(2).object["twin"]["address"] == site.rig.members[twin].address().to_string());
-        site.rig.members[2].wait_for("another process runs under this id");
+        assert!(of(2).object["twin"]["address"] == site.fleet.members[twin].address().to_string());
+        site.fleet.members[2].wait_for("another process runs under this id");
         if !stopped {
-            site.rig.members[twin].wait_for("another process runs under this id");
+            site.fleet.members[twin].wait_for("another process runs under this id");
         }
-        site.rig.kill(twin);
-        let bound = site.rig.bound() * 2 + Duration::from_secs(10);
-        site.rig.until("the older speaks again", bound, |rig, seen| {
-            cobaltspool_fleet_rig::history::agree(&rig.members, seen)
+        site.fleet.kill(twin);
+        let bound = site.fleet.bound() * 2 + Duration::from_secs(10);
+        site.fleet.until("the older speaks again", bound, |fleet, seen| {
+            cobaltspool_fleet_testkit::history::agree(&fleet.members, seen)
         });
     }
     site.checked();
@@ -319,17 +319,17 @@
             files
         });
     });
-    assert_eq!(gates(&site.rig, [2])[0][0], gate);
+    assert_eq!(gates(&site.fleet, [2])[0][0], gate);
     for before in [2, 3] {
-        let newer = site.rig.beside(2);
-        assert_eq!(site.rig.members[newer].address(), site.rig.members[2].address());
-        site.rig.terminate(before);
-        site.rig.settles("the newer process is the member");
-        assert_eq!(site.rig.history.deaths("n2"), 0);
-        for seen in site.rig.look().into_iter().flatten() {
+        let newer = site.fleet.beside(2);
+        assert_eq!(site.fleet.members[newer].address(), site.fleet.members[2].address());
+        site.fleet.terminate(before);
+        site.fleet.settles("the newer process is the member");
+        assert_eq!(site.fleet.history.deaths("n2"), 0);
+        for seen in site.fleet.look().into_iter().flatten() {
             assert_eq!(seen.member("n2")["incarnation"], newer as u64 - 1);
         }
-        for member in &site.rig.members {
+        for member in &site.fleet.members {
             assert!(!member.lines().iter().any(|l| l.contains("another process runs under this id")));
         }
     }
@@ -340,12 +340,12 @@
 #[test]
 fn a_dead_seed_keeps_nobody_out() {
     let mut site = site(4, false);
-    let dead = site.rig.members[0].address();
-    site.rig.kill(0);
-    site.rig.settles("the first member is gone");
-    let seeds = vec![dead, listen().1, site.rig.members[2].address()];
-    site.rig.newcomer("n9", seeds);
-    site.rig.settles("n9 is there without n0");
+    let dead = site.fleet.members[0].address();
+    site.fleet.kill(0);
+    site.fleet.settles("the first member is gone");
+    let seeds = vec![dead, listen().1, site.fleet.members[2].address()];
+    site.fleet.newcomer("n9", seeds);
+    site.fleet.settles("n9 is there without n0");
     site.checked();
 }
 
@@ -353,8 +353,8 @@
 #[test]
 fn frames_of_others_are_counted_and_change_nothing() {
     let mut site = site(3, false);
-    let calls = Calls::at(&gates(&site.rig, 0..2));
-    let at = site.rig.members[0].address();
+    let calls = Calls::at(&gates(&site.fleet, 0..2));
+    let at = site.fleet.members[0].address();
     let noise = UdpSocket::bind("127.0.0.1:0").unwrap();
     let dead = wire::example("n1", 99, 0, State::Down);
     let record = wire::example("n2", 99, 9, State::Alive);
@@ -370,7 +370,7 @@
         records: vec![dead],
     };
     let forged = wire::encode(&frame, &Key::of(b"the key of another fleet"));
-    let good = wire::encode(&frame, &Key::of(&site.rig.key()));
+    let good = wire::encode(&frame, &Key::of(&site.fleet.key()));
     let held: Vec<TcpStream> = (0..20).map(|_| TcpStream::connect(at).unwrap()).collect();
     let mut slow = TcpStream::connect(at).unwrap();
     for round in 0..300 {
@@ -386,32 +386,32 @@
         // A frame of 512 KiB is claimed, and comes a byte at a time.
         let _ = slow.write_all(if round == 0 { &[0, 8, 0, 0] } else { &[1] });
         if round % 20 == 0 {
-            site.rig.look();
+            site.fleet.look();
         }
     }
-    let counted = |_: &Rig, seen: &[Option<Seen>]| {
+    let counted = |_: &TestFleet, seen: &[Option<Seen>]| {
         let dropped = &seen[0].as_ref().ok_or("no answer")?.object["dropped"];
         let all = ["forged", "oversized", "cut", "version", "streams"]
             .iter()
             .all(|cause| dropped[*cause].as_u64() > Some(0));
         if all { Ok(()) } else { Err(dropped.to_string()) }
     };
-    site.rig.until("each is counted by its cause", Duration::from_secs(20), counted);
-    assert_eq!((site.rig.history.deaths("n1"), site.rig.history.deaths("n2")), (0, 0));
-    site.rig.settles("nothing has changed");
+    site.fleet.until("each is counted by its cause", Duration::from_secs(20), counted);
+    assert_eq!((site.fleet.history.deaths("n1"), site.fleet.history.deaths("n2")), (0, 0));
+    site.fleet.settles("nothing has changed");
     // The same words with the fleet's key are heard: it is the seal that kept them out.
     noise.send_to(&good, at).unwrap();
-    site.rig.until("a sealed frame is heard", Duration::from_secs(20), |_, seen| {
+    site.fleet.until("a sealed frame is heard", Duration::from_secs(20), |_, seen| {
         let heard = seen.iter().flatten().any(|s| s.member("n1")["incarnation"].as_u64() >= Some(99));
         if heard { Ok(()) } else { Err("not heard".to_string()) }
     });
     // Those who hold streams and say nothing lose their places in time.
     let table = Frame { kind: Kind::Table, counter: 2, ..frame };
     eventually("an exchange is answered", || {
-        (exchange(at, &wire::encode(&table, &Key::of(&site.rig.key()))) > 4).then_some(())
+        (exchange(at, &wire::encode(&table, &Key::of(&site.fleet.key()))) > 4).then_some(())
     });
     drop(held);
-    site.rig.go_on(PERIOD * 8);
+    site.fleet.go_on(PERIOD * 8);
     calls.all_answered();
 }
 
@@ -429,8 +429,8 @@
 #[test]
 fn three_hundred_members_cost_little_memory() {
     let mut site = site(1, false);
-    let before = site.rig.members[0].memory();
-    let (at, key) = (site.rig.members[0].address(), Key::of(&site.rig.key()));
+    let before = site.fleet.members[0].memory();
+    let (at, key) = (site.fleet.members[0].address(), Key::of(&site.fleet.key()));
     for round in 0..5 {
         let records =
             (0..300).map(|n| wire::example(&format!("member-{n}"), 1, round, State::Alive)).collect();
@@ -447,13 +447,13 @@
         };
         assert!(exchange(at, &wire::encode(&frame, &key)) > 4, "it answers with its own table");
     }
-    site.rig.until("all are known", Duration::from_secs(20), |_, seen| {
+    site.fleet.until("all are known", Duration::from_secs(20), |_, seen| {
         let members = seen[0].as_ref().map(|s| s.members.len());
         if members == Some(301) { Ok(()) } else { Err(format!("{members:?}")) }
     });
     // Probes, suspicions and deaths of all of them go on meanwhile.
-    site.rig.go_on(PERIOD * 20);
-    let after = site.rig.members[0].memory();
+    site.fleet.go_on(PERIOD * 20);
+    let after = site.fleet.members[0].memory();
     println!("{before} kB before, {after} kB with 300 members");
     assert!(before > 0 && after < before + 4 * 1024, "{before} kB before, {after} kB with 300 members");
 }
@@ -468,10 +468,10 @@
             let site = site_by(members.max(1), true, |plan| plan.without = members == 0);
             if what == "on, broken" {
                 let half = set([0, 1]);
-                site.rig.links.cut(&half, &site.rig.links.rest(&half), true);
-                site.rig.pause_quietly(4);
+                site.fleet.links.cut(&half, &site.fleet.links.rest(&half), true);
+                site.fleet.pause_quietly(4);
             }
-            let calls = Calls::every(Duration::from_millis(4), &gates(&site.rig, [0]));
+            let calls = Calls::every(Duration::from_millis(4), &gates(&site.fleet, [0]));
             thread::sleep(Duration::from_secs(5));
             let mut took = calls.ended();
             took.sort();
@@ -485,36 +485,36 @@
 #[test]
 fn drawn_faults_settle_once_they_end() {
     let mut site = site(6, true);
-    let calls = Calls::at(&gates(&site.rig, [0]));
+    let calls = Calls::at(&gates(&site.fleet, [0]));
     for _ in 0..6 {
-        let n = 1 + site.rig.draw(5);
-        site.rig.history.disturb();
-        match site.rig.draw(6) {
-            0 => site.rig.kill(n),
-            1 => site.rig.run(n),
-            2 if site.rig.members[n].runs() => {
-                site.rig.pause(n, true);
-                let time = PERIOD * (site.rig.draw(20) as u32);
-                site.rig.go_on(time);
-                site.rig.pause(n, false);
+        let n = 1 + site.fleet.draw(5);
+        site.fleet.history.disturb();
+        match site.fleet.draw(6) {
+            0 => site.fleet.kill(n),
+            1 => site.fleet.run(n),
+            2 if site.fleet.members[n].runs() => {
+                site.fleet.pause(n, true);
+                let time = PERIOD * (site.fleet.draw(20) as u32);
+                site.fleet.go_on(time);
+                site.fleet.pause(n, false);
             }
             3 => {
                 let some = set((0..n).map(|m| (m + n) % 6));
-                site.rig.links.cut(&some, &site.rig.links.rest(&some), true);
+                site.fleet.links.cut(&some, &site.fleet.links.rest(&some), true);
             }
-            4 => site.rig.links.cut(&set([n]), &site.rig.links.rest(&set([n])), false),
-            _ => site.rig.links.set_all(Fault {
+            4 => site.fleet.links.cut(&set([n]), &site.fleet.links.rest(&set([n])), false),
+            _ => site.fleet.links.set_all(Fault {
                 loss: 0.1,
                 delay: Duration::from_millis(20),
                 ..Fault::default()
             }),
         }
-        let time = PERIOD * (site.rig.draw(16) as u32);
-        site.rig.go_on(time);
+        let time = PERIOD * (site.fleet.draw(16) as u32);
+        site.fleet.go_on(time);
     }
-    site.rig.links.heal();
-    site.rig.history.disturb();
-    site.rig.settles("all is well again");
+    site.fleet.links.heal();
+    site.fleet.history.disturb();
+    site.fleet.settles("all is well again");
     calls.all_answered();
     site.checked();
 }
@@ -524,13 +524,13 @@
 fn thirty_members_of_which_nine_die_at_once() {
     let mut site = site(30, false);
     for n in 10..19 {
-        site.rig.kill(n);
+        site.fleet.kill(n);
     }
-    site.rig.settles("the others know it");
+    site.fleet.settles("the others know it");
     for n in 10..19 {
-        site.rig.run(n);
+        site.fleet.run(n);
     }
-    site.rig.settles("they are back");
+    site.fleet.settles("they are back");
     site.checked();
 }
 
@@ -555,7 +555,7 @@
 fn the_command_line_shows_the_members() {
     let site = site(3, false);
     let run = |args: &[&str]| {
-        let door = site.rig.members[0].door().to_string();
+        let door = site.fleet.members[0].door().to_string();
         let args = args.iter().copied().chain(["--door", &door]);
         let done = std::process::Command::new(env!("CARGO_BIN_EXE_cobaltspool"))
             .arg("fleet")
--- a/tests/owner.rs
+++ b/tests/owner.rs
@@ -1,13 +1,13 @@
 //! Stories of owned work: several real gatekeepers of which some keep the fleet's log, links and disks that are broken between them,
-//! calls on both fronts all the while, and a witness that carries out what owners send. Each ends with invariant 2 over what it did.
+//! calls on both fronts all the while, and a recorder that carries out what owners send. Each ends with invariant 2 over what it did.
 
 mod peers;
 
 use std::time::{Duration, Instant};
 
-use cobaltspool_fleet_rig::Rig;
-use cobaltspool_fleet_rig::history::Seen;
-use cobaltspool_fleet_rig::witness::Witness;
+use cobaltspool_fleet_testkit::TestFleet;
+use cobaltspool_fleet_testkit::effect_recorder::EffectRecorder;
+use cobaltspool_fleet_testkit::history::Seen;
 use peers::site::*;
 use rstest::rstest;
 use serde_json::Value;
@@ -17,18 +17,18 @@
 
 struct Owned {
     site: Site,
-    witness: Witness,
+    recorder: EffectRecorder,
 }
 
 fn owned(members: usize, voters: usize, linked: bool) -> Owned {
-    let witness = Witness::start(true);
-    let at = witness.at.to_string();
+    let recorder = EffectRecorder::start(true);
+    let at = recorder.at.to_string();
     let site = site_by(members, linked, |plan| {
         plan.voters = voters;
         plan.env =
             vec![("COBALTSPOOL_TEST_WORKS".into(), WORKS.to_string()), ("COBALTSPOOL_WITNESS".into(), at)];
     });
-    let mut owned = Owned { site, witness };
+    let mut owned = Owned { site, recorder };
     owned.all_owned("work is given out");
     owned
 }
@@ -57,29 +57,29 @@
 }
 
 impl Owned {
-    fn rig(&mut self) -> &mut Rig {
-        &mut self.site.rig
+    fn fleet(&mut self) -> &mut TestFleet {
+        &mut self.site.fleet
     }
 
     /// A member is cut off from all others: both ways, or so that it is not heard, or does not hear.
     fn cut(&mut self, n: usize, way: &str) {
-        let (one, rest) = (set([n]), self.rig().links.rest(&set([n])));
+        let (one, rest) = (set([n]), self.fleet().links.rest(&set([n])));
         match way {
-            "both ways" => self.rig().links.cut(&one, &rest, true),
-            "not heard" => self.rig().links.cut(&one, &rest, false),
-            _ => self.rig().links.cut(&rest, &one, false),
+            "both ways" => self.fleet().links.cut(&one, &rest, true),
+            "not heard" => self.fleet().links.cut(&one, &rest, false),
+            _ => self.fleet().links.cut(&rest, &one, false),
         }
-        self.rig().history.disturb();
+        self.fleet().history.disturb();
     }
 
     fn heal(&mut self) {
-        self.rig().links.heal();
-        self.rig().history.disturb();
+        self.fleet().links.heal();
+        self.fleet().history.disturb();
     }
 
     /// Every item has one holder, and some voter leads; how long that took.
     fn all_owned(&mut self, what: &str) -> Duration {
-        self.rig().until(what, Duration::from_secs(60), |_, seen| {
+        self.fleet().until(what, Duration::from_secs(60), |_, seen| {
             for work in works() {
                 let holders = holders(seen, &work);
                 if holders.len() != 1 {
@@ -91,18 +91,18 @@
     }
 
     fn leader(&mut self) -> usize {
-        let seen = self.rig().look();
+        let seen = self.fleet().look();
         leader(&seen).expect("a leader")
     }
 
     fn holder(&mut self, work: &str) -> usize {
-        let seen = self.rig().look();
+        let seen = self.fleet().look();
         holders(&seen, work)[0]
     }
 
     fn stands(&mut self, n: usize, standing: &'static str) -> Duration {
         let what = format!("n{n} is {standing}");
-        self.rig().until(&what, Duration::from_secs(60), |_, seen| {
+        self.fleet().until(&what, Duration::from_secs(60), |_, seen| {
             let voter = voter(seen, n);
             if voter["standing"] == standing { Ok(()) } else { Err(voter.to_string()) }
         })
@@ -112,8 +112,8 @@
     fn all_act(&mut self) {
         let start = Instant::now();
         loop {
-            let seen = self.rig().look();
-            let rows = self.witness.rows();
+            let seen = self.fleet().look();
+            let rows = self.recorder.rows();
             let acted = |work: &String| {
                 let owners = seen.iter().flatten().flat_map(|s| s.object["owners"].as_array());
                 let mine = owners.flatten().find(|o| o["work"] == **work && o["mine"] == true);
@@ -130,44 +130,44 @@
 
     /// So many effects more have been carried out: the work goes on.
     fn goes_on(&mut self, effects: usize) {
-        let count = |w: &Witness| w.rows().iter().filter(|r| r.done).count();
-        let (start, before) = (Instant::now(), count(&self.witness));
-        while count(&self.witness) < before + effects {
+        let count = |w: &EffectRecorder| w.rows().iter().filter(|r| r.done).count();
+        let (start, before) = (Instant::now(), count(&self.recorder));
+        while count(&self.recorder) < before + effects {
             assert!(start.elapsed() < Duration::from_secs(60), "no effects come");
-            self.rig().go_on(Duration::from_millis(50));
+            self.fleet().go_on(Duration::from_millis(50));
         }
     }
 
     fn checked(self) -> usize {
-        let changes = self.witness.check().expect("invariant 2");
+        let changes = self.recorder.check().expect("invariant 2");
         self.site.checked();
         changes
     }
 }
 
-/// Owners change by kill, stop, cut and clean leave, one after the other; the witness carries out nothing of an earlier one after a
+/// Owners change by kill, stop, cut and clean leave, one after the other; the recorder carries out nothing of an earlier one after a
 /// later one, and the calls go on.
 #[test]
 fn owners_change_and_an_earlier_one_does_nothing_any_more() {
     let mut owned = owned(5, 3, true);
-    let calls = Calls::at(&gates(&owned.site.rig, [3, 4]));
+    let calls = Calls::at(&gates(&owned.site.fleet, [3, 4]));
     let mut moved = 0;
     for round in 0..3 {
         // Voters only, so that the calls' gatekeepers stay: one that owns something, if there is one, or whoever leads.
         owned.all_act();
         let leader = owned.leader();
-        let seen = owned.rig().look();
+        let seen = owned.fleet().look();
         let holds =
             |n: usize| (0..WORKS).filter(|w| holders(&seen, &format!("test/{w}")).contains(&n)).count();
         let n = (0..3).max_by_key(|n| (holds(*n), *n == leader)).unwrap_or(leader);
         moved += holds(n);
         match round {
-            0 => owned.rig().kill(n),
-            1 => owned.rig().pause(n, true),
+            0 => owned.fleet().kill(n),
+            1 => owned.fleet().pause(n, true),
             _ => owned.cut(n, "both ways"),
         }
         let others = Duration::from_secs(60);
-        owned.rig().until("the others own all", others, |_, seen| {
+        owned.fleet().until("the others own all", others, |_, seen| {
             for work in works() {
                 let held: Vec<usize> = holders(seen, &work).into_iter().filter(|h| *h != n).collect();
                 if held.len() != 1 {
@@ -178,11 +178,11 @@
         });
         owned.goes_on(20);
         match round {
-            0 => owned.rig().run(n),
-            1 => owned.rig().pause(n, false),
+            0 => owned.fleet().run(n),
+            1 => owned.fleet().pause(n, false),
             _ => owned.heal(),
         }
-        owned.rig().settles("it is back");
+        owned.fleet().settles("it is back");
         owned.stands(n, "voting");
         owned.all_owned("all is owned once");
     }
@@ -190,7 +190,7 @@
     let leaves = owned.holder("test/0");
     if leaves < 3 {
         let start = Instant::now();
-        owned.rig().terminate(leaves);
+        owned.fleet().terminate(leaves);
         owned.all_owned("the next has it");
         println!("a clean leave: {:?}", start.elapsed());
     }
@@ -205,15 +205,15 @@
 fn an_owner_that_stops_between_check_and_effect_comes_too_late() {
     let mut owned = owned(5, 3, false);
     let n = owned.holder("test/1");
-    let before = owned.witness.rows().len();
-    owned.rig().members[n].fault("effect", "1*sleep(5000)");
+    let before = owned.recorder.rows().len();
+    owned.fleet().members[n].fault("effect", "1*sleep(5000)");
     let start = Instant::now();
     let id = format!("n{n}");
-    while !owned.witness.rows()[before..].iter().any(|r| r.owner == id && !r.done) {
+    while !owned.recorder.rows()[before..].iter().any(|r| r.owner == id && !r.done) {
         assert!(start.elapsed() < Duration::from_secs(60), "the late effect never came");
-        owned.rig().go_on(Duration::from_millis(50));
+        owned.fleet().go_on(Duration::from_millis(50));
     }
-    owned.rig().settles("it is back");
+    owned.fleet().settles("it is back");
     owned.all_owned("all is owned once");
     owned.checked();
 }
@@ -223,16 +223,16 @@
 #[test]
 fn a_voter_whose_disk_forgot_is_amnesiac_until_it_is_whole() {
     let mut owned = owned(3, 3, true);
-    let calls = Calls::at(&gates(&owned.site.rig, [0]));
-    let state = owned.rig().state("n1");
+    let calls = Calls::at(&gates(&owned.site.fleet, [0]));
+    let state = owned.fleet().state("n1");
     let copy = state.with_extension("copy");
     std::fs::create_dir_all(&copy).unwrap();
     std::fs::copy(state.join("log"), copy.join("log")).unwrap();
     for fault in ["empty", "older", "flipped"] {
         // Something is decided after the copy, with n1's part in it.
-        owned.rig().kill(2);
+        owned.fleet().kill(2);
         owned.all_owned("two go on");
-        owned.rig().kill(1);
+        owned.fleet().kill(1);
         match fault {
             "empty" => std::fs::remove_dir_all(&state).unwrap(),
             "older" => drop(std::fs::copy(copy.join("log"), state.join("log")).unwrap()),
@@ -242,17 +242,17 @@
                 std::fs::write(state.join("log"), bytes).unwrap();
             }
         }
-        owned.rig().run(1);
+        owned.fleet().run(1);
         owned.stands(1, "amnesiac");
         // For as long as n2 is down nobody can say what n1 promised: nothing is decided.
-        let wait = owned.rig().period() * 12;
+        let wait = owned.fleet().period() * 12;
         let until = Instant::now() + wait;
         while Instant::now() < until {
-            let seen = owned.rig().look();
+            let seen = owned.fleet().look();
             assert_eq!(voter(&seen, 1)["standing"], "amnesiac", "{fault}");
             assert_eq!(leader(&seen).filter(|n| *n == 1), None, "{fault}");
         }
-        owned.rig().run(2);
+        owned.fleet().run(2);
         owned.stands(1, "voting");
         owned.all_owned("the fleet goes on");
     }
@@ -265,29 +265,29 @@
 #[test]
 fn voters_whose_disks_fail_are_read_only_and_calls_go_on() {
     let mut owned = owned(4, 3, true);
-    let calls = Calls::at(&gates(&owned.site.rig, [0, 3]));
+    let calls = Calls::at(&gates(&owned.site.fleet, [0, 3]));
     for (n, point) in [(0, "disk-write"), (1, "disk-sync")] {
-        owned.rig().members[n].fault(point, "return");
+        owned.fleet().members[n].fault(point, "return");
         // A voter's new start is something to write for the others.
-        owned.rig().kill(2);
-        owned.rig().run(2);
+        owned.fleet().kill(2);
+        owned.fleet().run(2);
         owned.stands(n, "read-only");
-        let seen = owned.rig().look();
+        let seen = owned.fleet().look();
         let trouble = voter(&seen, n)["trouble"].as_str().unwrap_or_default().to_string();
         assert!(trouble.contains("write failed") && trouble.contains("start anew"), "{trouble}");
     }
-    owned.rig().until("there is no majority", Duration::from_secs(60), |_, seen| {
+    owned.fleet().until("there is no majority", Duration::from_secs(60), |_, seen| {
         let any = seen.iter().flatten().any(|s| s.object["majority"] == true);
         if any { Err("somebody sees one".into()) } else { Ok(()) }
     });
-    owned.rig().members[0].fault("disk-write", "off");
+    owned.fleet().members[0].fault("disk-write", "off");
     for n in [1, 2] {
-        owned.rig().kill(n);
-        owned.rig().run(n);
+        owned.fleet().kill(n);
+        owned.fleet().run(n);
     }
     calls.all_answered();
-    owned.rig().kill(0);
-    owned.rig().run(0);
+    owned.fleet().kill(0);
+    owned.fleet().run(0);
     owned.all_owned("all are whole again");
     owned.checked();
 }
@@ -296,13 +296,13 @@
 #[test]
 fn a_folder_that_another_process_has_is_told() {
     let mut owned = owned(3, 3, false);
-    let twin = owned.rig().twin(2, 0);
-    owned.rig().until("it says why", Duration::from_secs(60), |_, seen| {
+    let twin = owned.fleet().twin(2, 0);
+    owned.fleet().until("it says why", Duration::from_secs(60), |_, seen| {
         let trouble = voter(seen, twin)["trouble"].as_str().unwrap_or_default().to_string();
         if trouble.contains("another process has it locked") { Ok(()) } else { Err(trouble) }
     });
-    owned.rig().kill(twin);
-    owned.rig().settles("one is left");
+    owned.fleet().kill(twin);
+    owned.fleet().settles("one is left");
     owned.all_owned("all is owned once");
     owned.checked();
 }
@@ -314,7 +314,7 @@
     for way in ["not heard", "deaf"] {
         let n = owned.leader();
         owned.cut(n, way);
-        owned.rig().until("another leads", Duration::from_secs(60), |_, seen| match leader(seen) {
+        owned.fleet().until("another leads", Duration::from_secs(60), |_, seen| match leader(seen) {
             Some(other) if other != n => Ok(()),
             other => Err(format!("{other:?} leads")),
         });
@@ -328,7 +328,7 @@
 fn the_command_line_shows_owners_and_the_log() {
     let owned = owned(3, 3, false);
     let ask = |what: &str, format: &str| {
-        let door = owned.site.rig.members[0].door().to_string();
+        let door = owned.site.fleet.members[0].door().to_string();
         let done = std::process::Command::new(env!("CARGO_BIN_EXE_cobaltspool"))
             .args(["fleet", what, "--door", &door, "--format", format])
             .output()
@@ -359,17 +359,17 @@
     let mut gaps = Vec::new();
     for _ in 0..rounds {
         let n = owned.holder("test/0");
-        let of_work = |w: &Witness| w.rows().into_iter().filter(|r| r.work == "test/0" && r.done);
-        let token = of_work(&owned.witness).map(|r| r.token).max().unwrap_or(0);
+        let of_work = |w: &EffectRecorder| w.rows().into_iter().filter(|r| r.work == "test/0" && r.done);
+        let token = of_work(&owned.recorder).map(|r| r.token).max().unwrap_or(0);
         let start = Instant::now();
         match kind {
-            "kill" => owned.rig().kill(n),
-            "stop" => owned.rig().pause(n, true),
+            "kill" => owned.fleet().kill(n),
+            "stop" => owned.fleet().pause(n, true),
             "cut" => owned.cut(n, "both ways"),
-            _ => owned.rig().terminate(n),
+            _ => owned.fleet().terminate(n),
         }
         let next = loop {
-            let found = of_work(&owned.witness).find(|r| r.token > token).map(|r| r.at);
+            let found = of_work(&owned.recorder).find(|r| r.token > token).map(|r| r.at);
             if let Some(at) = found {
                 break at;
             }
@@ -377,14 +377,14 @@
             std::thread::sleep(Duration::from_millis(10));
         };
         // From the last effect of the one to the first of the other; who leaves works on until it puts its work down.
-        let last = of_work(&owned.witness).filter(|r| r.token == token).map(|r| r.at).max();
+        let last = of_work(&owned.recorder).filter(|r| r.token == token).map(|r| r.at).max();
         gaps.push(next.saturating_duration_since(last.unwrap_or(start)).as_millis());
         match kind {
-            "stop" => owned.rig().pause(n, false),
+            "stop" => owned.fleet().pause(n, false),
             "cut" => owned.heal(),
-            _ => owned.rig().run(n),
+            _ => owned.fleet().run(n),
         }
-        owned.rig().settles("it is back");
+        owned.fleet().settles("it is back");
         owned.all_owned("all is owned once");
     }
     gaps.sort_unstable();
--- a/tests/peers/site.rs
+++ b/tests/peers/site.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use cobaltspool_fleet_rig::{Plan, Rig};
+use cobaltspool_fleet_testkit::{Plan, TestFleet};
 use serde_json::json;
 
 use super::sip::Agent;
@@ -18,7 +18,7 @@
 
 /// A fleet of gatekeepers with both fronts, and a setup server on each that answers by itself.
 pub struct Site {
-    pub rig: Rig,
+    pub fleet: TestFleet,
     pub _resolvers: [Resolver; 2],
 }
 
@@ -82,20 +82,20 @@
     let mut plan = plan(members, linked, &resolvers);
     change(&mut plan);
     let alone = plan.without;
-    let mut rig = Rig::start(plan);
+    let mut fleet = TestFleet::start(plan);
     if !alone {
-        rig.settles("all start");
+        fleet.settles("all start");
     }
-    Site { rig, _resolvers: resolvers }
+    Site { fleet, _resolvers: resolvers }
 }
 
 impl Site {
     /// Invariant 1 over all that was seen.
     pub fn checked(self) {
         let running: Vec<String> =
-            self.rig.members.iter().filter(|m| m.runs()).map(|m| m.id.clone()).collect();
-        assert!(self.rig.history.looks() > 0);
-        let late = self.rig.history.held_down(&running, self.rig.bound());
+            self.fleet.members.iter().filter(|m| m.runs()).map(|m| m.id.clone()).collect();
+        assert!(self.fleet.history.looks() > 0);
+        let late = self.fleet.history.held_down(&running, self.fleet.bound());
         assert!(late.is_empty(), "held down for longer than the bound: {late:?}");
     }
 }
@@ -186,7 +186,7 @@
 }
 
 /// Where these take calls, on each front.
-pub fn gates(rig: &Rig, members: impl IntoIterator<Item = usize>) -> Vec<[SocketAddr; 2]> {
-    let of = |n: usize| [" serves name=", " serves SIP"].map(|words| rig.members[n].front(words));
+pub fn gates(fleet: &TestFleet, members: impl IntoIterator<Item = usize>) -> Vec<[SocketAddr; 2]> {
+    let of = |n: usize| [" serves name=", " serves SIP"].map(|words| fleet.members[n].front(words));
     members.into_iter().map(of).collect()
 }
--- a/tests/policy_replay.rs
+++ b/tests/policy_replay.rs
@@ -18,7 +18,7 @@
     include_str!("fixtures/policy_replay/seed-2.out.jsonl")
 )]
 fn recorded_events_give_the_recorded_actions(#[case] batches: &'static str, #[case] recorded: &str) {
-    let mut adapter = Command::new(env!("CARGO_BIN_EXE_cobaltspool-benchlink"))
+    let mut adapter = Command::new(env!("CARGO_BIN_EXE_cobaltspool-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .spawn()
