--- a/crates/fleet-sim/src/measure.rs
+++ b/crates/fleet-sim/src/measure.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use cobaltspool_fleet::member::MemberId;
-use cobaltspool_fleet::view::{Event, View};
+use cobaltspool_fleet::membership::{Event, Membership};
 use rand_core::RngCore;
 
 use crate::crate_swim;
@@ -53,7 +53,7 @@
     let mut world = World::fleet(seed, size);
     // A thousand that start in the same moment with one seed take longer than later joins.
     for _ in 0..10 {
-        if world.settle(View::bound(PERIOD, size)).is_ok() {
+        if world.settle(Membership::settling_bound(PERIOD, size)).is_ok() {
             break;
         }
     }
@@ -68,7 +68,7 @@
     let id = world.nodes[victim].id.clone();
     world.kill(victim);
     let start = world.now;
-    let _ = world.settle(View::bound(PERIOD, size));
+    let _ = world.settle(Membership::settling_bound(PERIOD, size));
     let told = |(at, _, event): &(u64, usize, Event)| match event {
         Event::Down(who, _) if *who == id => Some(periods(at - start)),
         _ => None,
@@ -86,7 +86,7 @@
     world.cuts.push(Cut { from: two, to: one });
     world.run(60);
     world.cuts.clear();
-    world.settle(View::bound(PERIOD, size)).map_or(f64::INFINITY, periods)
+    world.settle(Membership::settling_bound(PERIOD, size)).map_or(f64::INFINITY, periods)
 }
 
 /// Deaths told of living members, by the word that said so first: for an hour of the whole fleet, scaled from so many periods.
--- a/crates/fleet-sim/src/schedule.rs
+++ b/crates/fleet-sim/src/schedule.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use cobaltspool_fleet::view::View;
+use cobaltspool_fleet::membership::Membership;
 
 use crate::world::{Cut, PERIOD, World};
 
@@ -72,7 +72,7 @@
         }
     }
     steps.push(format!("{}: all is well again", world.now / PERIOD));
-    let bound = View::bound(PERIOD, world.nodes.len());
+    let bound = Membership::settling_bound(PERIOD, world.nodes.len());
     let settled = world.settle(bound).map(|t| t as f64 / PERIOD as f64);
     Outcome { seed, size: world.truth().len(), steps, settled }
 }
--- a/crates/fleet-sim/src/world.rs
+++ b/crates/fleet-sim/src/world.rs
@@ -5,9 +5,9 @@
 use std::net::SocketAddr;
 
 use cobaltspool_fleet::Micros;
-use cobaltspool_fleet::member::{MemberId, News};
-use cobaltspool_fleet::view::{Event, Out, Setup, To, View};
-use cobaltspool_fleet::wire::{self, Frame, Key};
+use cobaltspool_fleet::codec::{self, Frame, Key};
+use cobaltspool_fleet::member::{MemberId, MemberInfo};
+use cobaltspool_fleet::membership::{Action, Destination, Event, Membership, MembershipConfig};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -26,7 +26,7 @@
     pub seeds: Vec<SocketAddr>,
     known: Vec<(MemberId, SocketAddr)>,
     /// Its view, while it runs.
-    pub view: Option<View>,
+    pub view: Option<Membership>,
     /// It was stopped, and does nothing till it is continued.
     pub stopped: bool,
     /// It said that it goes.
@@ -144,7 +144,7 @@
         let (nonce, seed) = (self.rng.next_u64() | 1, self.rng.next_u64());
         let (now, memory) = (self.now, self.memory);
         let node = &mut self.nodes[n];
-        let set = Setup {
+        let set = MembershipConfig {
             id: node.id.clone(),
             zone: "zagreb".into(),
             version: "0.2.0".into(),
@@ -155,13 +155,13 @@
             memory,
             nonce,
         };
-        node.view = Some(View::new(now, set, seed));
+        node.view = Some(Membership::new(now, set, seed));
         node.inbox.clear();
         (node.stopped, node.left) = (false, false);
-        let news = News { ready: true, ..News::at(node.address) };
+        let news = MemberInfo { ready: true, ..MemberInfo::at(node.address) };
         let mut out = Vec::new();
         if let Some(view) = &mut node.view {
-            view.tell(now, news, &mut out);
+            view.update_info(now, news, &mut out);
         }
         self.carry_out(n, out, None);
         self.tick_from(n);
@@ -220,12 +220,12 @@
         self.queue.push(Reverse((at, self.next, n)));
     }
 
-    fn carry_out(&mut self, n: usize, out: Vec<Out>, back: Option<SocketAddr>) {
+    fn carry_out(&mut self, n: usize, out: Vec<Action>, back: Option<SocketAddr>) {
         for out in out {
             match out {
-                Out::Event(event) => self.events.push((self.now, n, event)),
-                Out::Datagram(to, frame) => self.send(n, &to, frame, back),
-                Out::Exchange(to) => {
+                Action::Notify(event) => self.events.push((self.now, n, event)),
+                Action::Datagram(to, frame) => self.send(n, &to, frame, back),
+                Action::ExchangeTables(to) => {
                     let Some(other) = self.whom(&to, back) else { continue };
                     // A stream needs both ways.
                     if self.cut(n, other) || self.cut(other, n) {
@@ -233,7 +233,7 @@
                     }
                     let now = self.now;
                     if let Some(view) = &mut self.nodes[n].view {
-                        let frame = Box::new(view.exchange(now));
+                        let frame = Box::new(view.table_frame(now));
                         self.push(now + self.delay.1 * 2, other, What::Table(frame, Some(n)));
                     }
                 }
@@ -241,18 +241,18 @@
         }
     }
 
-    fn whom(&self, to: &To, back: Option<SocketAddr>) -> Option<usize> {
+    fn whom(&self, to: &Destination, back: Option<SocketAddr>) -> Option<usize> {
         let address = match to {
-            To::Member(_, address) | To::Address(address) => *address,
-            To::Back => back?,
+            Destination::Member(_, address) | Destination::Address(address) => *address,
+            Destination::Sender => back?,
         };
         self.by_address.get(&address).copied()
     }
 
-    fn send(&mut self, n: usize, to: &To, frame: Box<Frame>, back: Option<SocketAddr>) {
+    fn send(&mut self, n: usize, to: &Destination, frame: Box<Frame>, back: Option<SocketAddr>) {
         if let Some((frames, bytes)) = &mut self.sent {
             *frames += 1;
-            *bytes += wire::encode(&frame, &Key::none()).len() as u64 + 28;
+            *bytes += codec::encode(&frame, &Key::none()).len() as u64 + 28;
         }
         let Some(other) = self.whom(to, back) else { return };
         let times = if self.chance(self.doubled) { 2 } else { 1 };
@@ -272,7 +272,7 @@
         }
         let (mut out, now) = (Vec::new(), self.now);
         if let Some(view) = &mut self.nodes[n].view {
-            view.take(now, frame, &mut out);
+            view.handle_frame(now, frame, &mut out);
         }
         self.carry_out(n, out, Some(from));
     }
@@ -288,7 +288,7 @@
                 let (mut out, now) = (Vec::new(), self.now);
                 let Some(view) = &mut node.view else { return };
                 view.tick(now, &mut out);
-                let due = view.next_due();
+                let due = view.next_deadline();
                 self.carry_out(n, out, None);
                 self.push(due, n, What::Tick(runs));
             }
@@ -302,8 +302,8 @@
             What::Table(frame, asker) => {
                 let (mut out, now) = (Vec::new(), self.now);
                 let Some(view) = &mut node.view else { return };
-                let answer = (asker.is_some() && view.active()).then(|| Box::new(view.exchange(now)));
-                view.take_exchange(now, *frame, &mut out);
+                let answer = (asker.is_some() && view.is_active()).then(|| Box::new(view.table_frame(now)));
+                view.handle_table(now, *frame, &mut out);
                 self.carry_out(n, out, None);
                 if let (Some(answer), Some(asker)) = (answer, asker)
                     && !self.cut(n, asker)
@@ -348,24 +348,27 @@
         let truth = self.truth();
         for (n, node) in self.nodes.iter().enumerate() {
             let Some(view) = node.view.as_ref().filter(|_| !node.stopped) else { continue };
-            if view.stands_by() {
-                let other =
-                    |m: &Node| m.id == node.id && m.view.as_ref().is_some_and(View::active) && !m.stopped;
+            if view.is_standby() {
+                let other = |m: &Node| {
+                    m.id == node.id && m.view.as_ref().is_some_and(Membership::is_active) && !m.stopped
+                };
                 if !self.nodes.iter().any(other) {
                     return Err(format!("{} stands by for nobody", node.id));
                 }
                 continue;
             }
             // Counted first: most that do not agree differ in number.
-            let held = if view.counts().0 == truth.len() { view.live() } else { Vec::new() };
+            let held = if view.counts().0 == truth.len() { view.live_members() } else { Vec::new() };
             if held != truth {
-                let held = view.live();
+                let held = view.live_members();
                 return Err(format!("{} ({n}) holds {held:?}, and {truth:?} run", node.id));
             }
         }
         for id in &truth {
-            let speaks =
-                self.nodes.iter().filter(|m| m.id == *id && m.view.as_ref().is_some_and(View::active));
+            let speaks = self
+                .nodes
+                .iter()
+                .filter(|m| m.id == *id && m.view.as_ref().is_some_and(Membership::is_active));
             let speaks = speaks.filter(|m| !m.stopped).count();
             if speaks != 1 {
                 return Err(format!("{speaks} processes speak as {id}"));
--- a/crates/fleet-sim/tests/view.rs
+++ b/crates/fleet-sim/tests/view.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeSet;
 
-use cobaltspool_fleet::view::{Event, Out, View};
-use cobaltspool_fleet::wire::Kind;
+use cobaltspool_fleet::codec::FrameKind;
+use cobaltspool_fleet::membership::{Action, Event, Membership};
 use cobaltspool_fleet_sim::schedule;
 use cobaltspool_fleet_sim::world::{Cut, PERIOD, World};
 
 fn bound(world: &World) -> u64 {
-    View::bound(PERIOD, world.nodes.len())
+    Membership::settling_bound(PERIOD, world.nodes.len())
 }
 
 fn settled(world: &mut World) -> u64 {
@@ -76,9 +76,11 @@
     assert_eq!(told(&world, |e| matches!(e, Event::Left(_))), 4);
     let (now, mut out) = (world.now, Vec::new());
     let address = world.nodes[3].address;
-    let leaving =
-        cobaltspool_fleet::member::News { leaving: true, ..cobaltspool_fleet::member::News::at(address) };
-    world.nodes[3].view.as_mut().unwrap().tell(now, leaving, &mut out);
+    let leaving = cobaltspool_fleet::member::MemberInfo {
+        leaving: true,
+        ..cobaltspool_fleet::member::MemberInfo::at(address)
+    };
+    world.nodes[3].view.as_mut().unwrap().update_info(now, leaving, &mut out);
     world.run(2);
     world.kill(3);
     settled(&mut world);
@@ -193,10 +195,13 @@
         let seed_address = world.address(1);
         let twin = world.add("n3", vec![seed_address], Vec::new());
         settled(&mut world);
-        let stands_by = |world: &World, n: usize| world.nodes[n].view.as_ref().unwrap().stands_by();
+        let stands_by = |world: &World, n: usize| world.nodes[n].view.as_ref().unwrap().is_standby();
         assert!(stands_by(&world, 3) && !stands_by(&world, twin));
         for n in [3, twin] {
-            assert!(world.nodes[n].view.as_ref().unwrap().twin().is_some(), "process {n} heard of the other");
+            assert!(
+                world.nodes[n].view.as_ref().unwrap().duplicate().is_some(),
+                "process {n} heard of the other"
+            );
         }
         world.kill(twin);
         world.run(60);
@@ -215,8 +220,8 @@
         world.run(40);
         world.stop(2, false);
         settled(&mut world);
-        assert!(world.nodes[2].view.as_ref().unwrap().stands_by());
-        assert!(!world.nodes[next].view.as_ref().unwrap().stands_by());
+        assert!(world.nodes[2].view.as_ref().unwrap().is_standby());
+        assert!(!world.nodes[next].view.as_ref().unwrap().is_standby());
     }
 }
 
@@ -274,26 +279,27 @@
     assert!(frames.len() > 50);
     let now = world.now;
     let view = world.nodes[0].view.as_mut().unwrap();
-    let (before, counted, mut out) = (view.members(now), view.drops().replayed, Vec::new());
+    let (before, counted, mut out) = (view.members(now), view.drop_counters().replayed, Vec::new());
     for frame in &frames {
-        view.take(now, frame.clone(), &mut out);
+        view.handle_frame(now, frame.clone(), &mut out);
     }
     assert_eq!((view.members(now), out), (before, Vec::new()));
-    assert_eq!(view.drops().replayed - counted, frames.len() as u64);
+    assert_eq!(view.drop_counters().replayed - counted, frames.len() as u64);
     // Its next start has counted nothing yet; what was meant for the first start is known by that.
     world.kill(0);
     world.start(0);
     world.run(1);
     let now = world.now;
     let view = world.nodes[0].view.as_mut().unwrap();
-    let meant = frames.iter().filter(|f| f.to != 0 && f.kind != Kind::Ping).count() as u64;
-    let (counted, mut out) = (view.drops().replayed, Vec::new());
+    let meant = frames.iter().filter(|f| f.to != 0 && f.kind != FrameKind::Ping).count() as u64;
+    let (counted, mut out) = (view.drop_counters().replayed, Vec::new());
     for frame in frames {
-        view.take(now, frame, &mut out);
+        view.handle_frame(now, frame, &mut out);
     }
-    assert!(view.drops().replayed - counted >= meant && meant > 20);
+    assert!(view.drop_counters().replayed - counted >= meant && meant > 20);
     assert!(
-        !out.iter().any(|o| matches!(o, Out::Event(Event::Down(..) | Event::Suspected(..) | Event::Left(_))))
+        !out.iter()
+            .any(|o| matches!(o, Action::Notify(Event::Down(..) | Event::Suspected(..) | Event::Left(_))))
     );
     settled(&mut world);
 }
--- /dev/null
+++ b/crates/fleet/src/codec/tests.rs
@@ -0,0 +1,83 @@
+//! Frames back and forth, foreign and broken ones.
+
+use proptest::prelude::*;
+
+use super::*;
+
+fn frame() -> Frame {
+    let mut from = example("n1", 3, 4, MemberState::Alive);
+    from.info = MemberInfo { calls: 70_000, list_age: Some(0), ops: u64::MAX, age: 5_000_000, ..from.info };
+    let mut down = example("n2", 1, 9, MemberState::Down);
+    (down.reported_by, down.since) = (MemberId::new("n3"), 7_000_000);
+    Frame {
+        kind: FrameKind::PingRequest,
+        from,
+        to: 9,
+        counter: 12,
+        probe: 13,
+        target: MemberId::new("n4").map(|id| (id, SocketAddr::from(([127, 0, 0, 1], 9)))),
+        you: Some(example("n2", 1, 1, MemberState::Suspect).state_version),
+        digest: 14,
+        records: vec![down],
+    }
+}
+
+#[test]
+fn frame_survives_the_codec() {
+    for key in [Key::none(), Key::from_bytes(b"secret")] {
+        assert_eq!(decode(&encode(&frame(), &key), MAX_DATAGRAM_BYTES, &key), Ok(frame()));
+    }
+}
+
+/// A field of a newer version is passed on as it came, and no more of them than the bound.
+#[test]
+fn unknown_fields_are_kept_within_the_bound() {
+    let mut told = frame();
+    told.from.info.unknown = vec![(200, vec![1, 2, 3]), (201, vec![0; UNKNOWN_BYTES])];
+    let read = decode(&encode(&told, &Key::none()), MAX_DATAGRAM_BYTES, &Key::none()).unwrap();
+    assert_eq!(read.from.info.unknown, vec![(200, vec![1, 2, 3])]);
+    let again = decode(&encode(&read, &Key::none()), MAX_DATAGRAM_BYTES, &Key::none()).unwrap();
+    assert_eq!(again.from.info.unknown, read.from.info.unknown);
+}
+
+#[test]
+fn frames_of_other_fleets_and_versions_are_refused_by_cause() {
+    let key = Key::from_bytes(b"secret");
+    let good = encode(&frame(), &key);
+    let read = |bytes: &[u8]| decode(bytes, MAX_DATAGRAM_BYTES, &key).map(|_| ());
+    assert_eq!(read(&encode(&frame(), &Key::from_bytes(b"another fleet's"))), Err(DecodeError::Forged));
+    assert_eq!(read(&encode(&frame(), &Key::none())), Err(DecodeError::Forged));
+    assert_eq!(read(&good[..good.len() - 1]), Err(DecodeError::Forged));
+    assert_eq!(read(&good[..HEAD - 1]), Err(DecodeError::Truncated));
+    assert_eq!(read(&[0; MAX_DATAGRAM_BYTES + 1]), Err(DecodeError::Oversized));
+    assert_eq!(read(&[&good[..2], &[9], &good[3..]].concat()), Err(DecodeError::Version));
+    let flipped = good.iter().enumerate().map(|(n, b)| if n == HEAD + 4 { b ^ 1 } else { *b });
+    assert_eq!(read(&flipped.collect::<Vec<u8>>()), Err(DecodeError::Forged));
+}
+
+#[test]
+fn estimated_record_size_is_about_right() {
+    let mut whole = frame();
+    whole.records = vec![frame().records[0].clone(); 8];
+    let with = encode(&whole, &Key::none()).len();
+    whole.records.clear();
+    let one = (with - encode(&whole, &Key::none()).len()) / 8;
+    let reckoned = size(&frame().records[0]);
+    assert!(one <= reckoned && reckoned <= one * 3, "{one} bytes, reckoned as {reckoned}");
+}
+
+proptest! {
+    #[test]
+    fn noise_is_refused_without_panic(noise in proptest::collection::vec(any::<u8>(), 0..600),
+                                                cut in 0usize..300) {
+        prop_assert!(decode(&noise, MAX_DATAGRAM_BYTES, &Key::none()).is_err());
+        // Behind a good seal too: whoever has the key may still write nonsense.
+        let mut sealed = MAGIC.to_vec();
+        sealed.push(VERSION);
+        sealed.extend_from_slice(Key::none().seal(&noise).as_bytes());
+        sealed.extend_from_slice(&noise);
+        let _ = decode(&sealed, MAX_DATAGRAM_BYTES, &Key::none());
+        let good = encode(&frame(), &Key::none());
+        prop_assert!(decode(&good[..good.len().saturating_sub(cut + 1)], MAX_DATAGRAM_BYTES, &Key::none()).is_err());
+    }
+}
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -8,14 +8,14 @@
 //! - [`owner`]: work items, one owner each, leases and fencing tokens, on the log; [`parcel`]: what goes over streams for both;
 //! - [`live_instances`]: how many gatekeepers a cold server's budget is divided by, so that a cut never lets two halves press it.
 
+pub mod codec;
 pub mod envelope;
 pub mod lease;
 pub mod live_instances;
 pub mod member;
+pub mod membership;
 pub mod quorum;
-pub mod view;
 pub mod wal;
-pub mod wire;
 
 /// Monotonic time in microseconds, from any start that a process keeps.
 pub type Micros = u64;
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -1,4 +1,4 @@
-//! A member: its name, its lives, what it tells of itself, and which of two words about it is the newer.
+//! A member: its id, its incarnations, its information about itself, and which of two records about it is the newer.
 //!
 //! Wall time decides nothing here. A start draws a nonce, and takes a generation above every other that it hears of under
 //! its id; that is what makes a newer start win without a disk.
@@ -16,6 +16,11 @@
 /// Fields of a newer version that are passed on unread: so many bytes of one member; further ones are left out.
 pub const UNKNOWN_BYTES: usize = 64;
 
+/// A text that is no member's id.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("no member's id: give 1 to {NAME_BYTES} letters, digits, dots, dashes or underscores")]
+pub struct InvalidMemberId;
+
 /// A member's id: the same after a restart.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "Arc<str>", into = "Arc<str>")]
@@ -35,10 +40,10 @@
 }
 
 impl TryFrom<Arc<str>> for MemberId {
-    type Error = &'static str;
+    type Error = InvalidMemberId;
 
-    fn try_from(text: Arc<str>) -> Result<MemberId, &'static str> {
-        MemberId::new(&text).ok_or("no member's id")
+    fn try_from(text: Arc<str>) -> Result<MemberId, InvalidMemberId> {
+        MemberId::new(&text).ok_or(InvalidMemberId)
     }
 }
 
@@ -56,16 +61,16 @@
 
 /// One start of a process under an id. The greater one is the newer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Life {
+pub struct Incarnation {
     /// Above that of every other start known when it was taken: the member's incarnation.
     pub generation: u64,
     /// Drawn at the start; tells two starts of one generation apart.
     pub nonce: u64,
 }
 
-/// How a member stands.
+/// A member's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum State {
+pub enum MemberState {
     /// It is there.
     Alive,
     /// It has not answered somebody, and may still refute that.
@@ -76,65 +81,65 @@
     Left,
 }
 
-impl State {
+impl MemberState {
     /// Counted as there.
     pub fn live(self) -> bool {
-        matches!(self, State::Alive | State::Suspect)
+        matches!(self, MemberState::Alive | MemberState::Suspect)
     }
 
     /// Its name in status and log.
     pub fn name(self) -> &'static str {
         match self {
-            State::Alive => "alive",
-            State::Suspect => "suspect",
-            State::Down => "down",
-            State::Left => "left",
+            MemberState::Alive => "alive",
+            MemberState::Suspect => "suspect",
+            MemberState::Down => "down",
+            MemberState::Left => "left",
         }
     }
 }
 
-/// What orders the words about one member: life, then its own count, then the graver state.
+/// What orders the records about one member: incarnation, then its own count, then the graver state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Stamp {
+pub struct StateVersion {
     /// Of which start.
-    pub life: Life,
-    /// Counted by the member itself: each refutation and each piece of news is one more.
+    pub incarnation: Incarnation,
+    /// Counted by the member itself: each refutation and each change of its information is one more.
     pub seq: u32,
-    /// How it stands.
-    pub state: State,
+    /// Its state.
+    pub state: MemberState,
 }
 
-/// What a member tells of itself.
+/// A member's information about itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct News {
+pub struct MemberInfo {
     /// Its zone.
     pub zone: Arc<str>,
     /// Where it is reached.
     pub address: SocketAddr,
     /// Its program's version.
     pub version: Arc<str>,
-    /// How long it had run when it told this.
+    /// How long it had run when it sent this.
     pub age: Micros,
     /// It takes clients.
     pub ready: bool,
-    /// It sends clients away by an order of staff.
+    /// Operators have taken it out of service.
     pub draining: bool,
-    /// It is on its way out, and will say when it has left.
+    /// It shuts down, and will say when it has left.
     pub leaving: bool,
-    /// Calls open and standing, of late.
+    /// Pending and established calls, of late.
     pub calls: u32,
     /// The age of its list of servers, in milliseconds; `None`: it has none.
     pub list_age: Option<u64>,
     /// Digest of its operators' file; 0: it has none.
     pub ops: u64,
-    /// What a newer version told besides, as it came.
+    /// Fields of a newer version, as they came.
     pub unknown: Vec<(u8, Vec<u8>)>,
 }
 
-impl News {
-    /// News of a process that has just started.
-    pub fn at(address: SocketAddr) -> News {
-        News {
+impl MemberInfo {
+    /// MemberInfo of a process that has just started.
+    pub fn at(address: SocketAddr) -> MemberInfo {
+        MemberInfo {
             zone: "".into(),
             address,
             version: "".into(),
@@ -150,43 +155,25 @@
     }
 
     /// What others have to hear of soon: all but figures that change with every call.
-    pub(crate) fn matters(&self) -> (bool, bool, bool, SocketAddr, u64, &str) {
+    pub(crate) fn urgent_fields(&self) -> (bool, bool, bool, SocketAddr, u64, &str) {
         (self.ready, self.draining, self.leaving, self.address, self.ops, &self.zone)
     }
 }
 
-/// A word about a member.
+/// What somebody says of a member.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Record {
+pub struct MemberRecord {
     /// Whom it is about.
     pub id: MemberId,
-    /// How new it is, and how the member stands.
-    pub stamp: Stamp,
-    /// Who said suspect or down first on the way to here; `None`: the member itself.
-    pub by: Option<MemberId>,
-    /// For how long it has stood so, where it is down or left.
+    /// How new it is, and the member's state.
+    pub state_version: StateVersion,
+    /// Who said suspect or down first; `None`: the member itself.
+    pub reported_by: Option<MemberId>,
+    /// For how long it has been so, where it is down or left.
     pub since: Micros,
-    /// What the member told of itself last.
-    pub news: News,
+    /// The member's last information about itself.
+    pub info: MemberInfo,
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn an_id_has_letters_and_an_end() {
-        for bad in ["", "a b", "ž", "a/b", &"x".repeat(NAME_BYTES + 1)] {
-            assert_eq!(MemberId::new(bad), None, "{bad}");
-        }
-        assert!(MemberId::new("osijek-2.b_1").is_some());
-    }
-
-    #[test]
-    fn a_newer_start_goes_before_an_older_ones_word_and_a_graver_state_before_a_lighter() {
-        let stamp = |generation, seq, state| Stamp { life: Life { generation, nonce: 9 }, seq, state };
-        assert!(stamp(2, 0, State::Alive) > stamp(1, 9, State::Left));
-        assert!(stamp(1, 3, State::Alive) > stamp(1, 2, State::Down));
-        assert!(stamp(1, 2, State::Down) > stamp(1, 2, State::Suspect));
-    }
-}
+mod tests;
--- a/crates/fleet/tests/formats.rs
+++ b/crates/fleet/tests/formats.rs
@@ -1,13 +1,13 @@
 //! What the version before the names were changed wrote is read by this one, and this one writes the same bytes. The fixtures were
 //! written by that version: a voter's log, with and without a snapshot, and one frame of each kind.
 
+use cobaltspool_fleet::codec::{self, Key, MAX_DATAGRAM_BYTES};
 use cobaltspool_fleet::envelope::{Payload, PeerMessage};
 use cobaltspool_fleet::lease::{LeaseTable, ResourceName, decode_changes};
 use cobaltspool_fleet::member::MemberId;
 use cobaltspool_fleet::quorum::machine::Replica;
 use cobaltspool_fleet::quorum::{Incarnation, LogPosition, LogRecord, MessageBody};
 use cobaltspool_fleet::wal::{self, Damage, WalContents};
-use cobaltspool_fleet::wire::{self, DATAGRAM_BYTES, Key};
 use rstest::rstest;
 
 const KEY: &[u8] = b"a key of at least sixteen bytes";
@@ -68,14 +68,14 @@
     "RejoinResponse { promised: LogPosition { term: 7, index: 3 }, last: LogPosition { term: 6, index: 1 }, has_rejoined: true, remembered: LogPosition { term: 7, index: 2 } }"
 )]
 fn voters_message_of_the_earlier_version_is_read_and_written(#[case] frame: &[u8], #[case] body: &str) {
-    let key = Key::of(KEY);
-    let envelope = wire::decode_envelope(frame, &key).expect("a frame of this version");
+    let key = Key::from_bytes(KEY);
+    let envelope = codec::decode_envelope(frame, &key).expect("a frame of this version");
     let Payload::Consensus(message) = &envelope.payload else { panic!("{envelope:?}") };
     assert_eq!((&envelope.from, &envelope.to), (&member("n1"), &member("n2")));
     assert_eq!((message.term, message.incarnations.len()), (7, 2));
     let found: &MessageBody = &message.body;
     assert!(format!("{found:?}").starts_with(body), "{found:?}");
-    assert_eq!(wire::encode_envelope(&envelope, &key), frame);
+    assert_eq!(codec::encode_envelope(&envelope, &key), frame);
 }
 
 #[rstest]
@@ -83,8 +83,8 @@
 #[case::claimed(include_bytes!("fixtures/v0_1/peer-claimed.frame"))]
 #[case::elsewhere(include_bytes!("fixtures/v0_1/peer-elsewhere.frame"))]
 fn lease_message_of_the_earlier_version_is_read_and_written(#[case] frame: &[u8]) {
-    let key = Key::of(KEY);
-    let envelope: PeerMessage = wire::decode_envelope(frame, &key).expect("a frame of this version");
+    let key = Key::from_bytes(KEY);
+    let envelope: PeerMessage = codec::decode_envelope(frame, &key).expect("a frame of this version");
     match &envelope.payload {
         Payload::LeaseRequest(request) => {
             assert_eq!((&request.requester.member, request.requester.nonce), (&member("n3"), 9));
@@ -100,7 +100,7 @@
         }
         Payload::Consensus(message) => panic!("{message:?}"),
     }
-    assert_eq!(wire::encode_envelope(&envelope, &key), frame);
+    assert_eq!(codec::encode_envelope(&envelope, &key), frame);
 }
 
 #[rstest]
@@ -112,10 +112,10 @@
 #[case::tell(include_bytes!("fixtures/v0_1/view-tell.frame"))]
 #[case::query(include_bytes!("fixtures/v0_1/view-query.frame"))]
 fn membership_frame_of_the_earlier_version_is_read_and_written(#[case] bytes: &[u8]) {
-    let key = Key::of(KEY);
-    let frame = wire::decode(bytes, DATAGRAM_BYTES, &key).expect("a frame of this version");
+    let key = Key::from_bytes(KEY);
+    let frame = codec::decode(bytes, MAX_DATAGRAM_BYTES, &key).expect("a frame of this version");
     assert_eq!((frame.to, frame.counter, frame.probe, frame.digest, frame.records.len()), (9, 12, 13, 14, 2));
-    assert_eq!(wire::encode(&frame, &key), bytes);
+    assert_eq!(codec::encode(&frame, &key), bytes);
 }
 
 /// A record's place in the file depends on its kind alone, whatever the variants are called.
--- a/src/call_trace/tests.rs
+++ b/src/call_trace/tests.rs
@@ -5,7 +5,7 @@
 use super::*;
 
 #[test]
-fn steps_of_a_call_come_back_in_order_and_the_oldest_are_replaced() {
+fn steps_of_a_call_are_returned_in_order_and_the_oldest_are_replaced() {
     let trace = CallTrace::default();
     trace.record(1, CallId(1), TraceStep::RequestedOn(7));
     for n in 0..CAPACITY as u64 - 1 {
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -5,7 +5,6 @@
 
 use bpaf::{OptionParser, Parser, construct, long, pure};
 
-use crate::fleet::ask::Question;
 use crate::log;
 
 /// Which fronts the program has.
@@ -27,18 +26,36 @@
     Json,
 }
 
+/// A text that names no format.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("'{0}' is no format; write text or json")]
+pub struct InvalidFormat(String);
+
 impl FromStr for Format {
-    type Err = String;
+    type Err = InvalidFormat;
 
-    fn from_str(text: &str) -> Result<Format, String> {
+    fn from_str(text: &str) -> Result<Format, InvalidFormat> {
         match text {
             "text" => Ok(Format::Text),
             "json" => Ok(Format::Json),
-            other => Err(format!("'{other}' is no format; write text or json")),
+            other => Err(InvalidFormat(other.to_string())),
         }
     }
 }
 
+/// What a gatekeeper is asked about its fleet.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Question {
+    /// The whole object.
+    Status,
+    /// The members.
+    Members,
+    /// Whose each resource is.
+    Owners,
+    /// What the fleet's log holds of late.
+    Log,
+}
+
 /// The call that `explain` is asked about.
 #[derive(Clone, Debug)]
 pub struct Asked {
--- a/src/commands.rs
+++ b/src/commands.rs
@@ -6,21 +6,53 @@
 use serde_json::{Value, json};
 
 use crate::cli::{Asked, Format, Fronts};
-use crate::config::{self, Config, SipConfig};
+use crate::config::{self, Config, ConfigError, SipConfig};
 use crate::config_check;
 use crate::limits::units::Span;
 use crate::limits::{Ceilings, Limits, Origin, Plan, Sourced};
 use crate::ops::Report;
 use crate::sections;
 
-/// The fronts' configurations, as far as they are asked for.
+/// A frontend's configuration cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub enum ReadError {
+    /// A file cannot be read.
+    #[error("{}: {source}", file.display())]
+    File {
+        /// The file.
+        file: PathBuf,
+        /// Why.
+        source: std::io::Error,
+    },
+    /// A file cannot be decoded.
+    #[error("{}: {}", file.display(), source.to_string().replace('\n', " "))]
+    Config {
+        /// The file.
+        file: PathBuf,
+        /// Why.
+        source: ConfigError,
+    },
+    /// A file breaks a rule.
+    #[error("{file} is refused\n{report}")]
+    Refused {
+        /// The file.
+        file: String,
+        /// The diagnostics, as text.
+        report: String,
+    },
+}
+
+/// The frontends' configurations, as far as they are asked for.
 pub type Configs = (Option<Config>, Option<SipConfig>);
 
 /// Reads the fronts' configurations. The SIP front's is ours, so it is refused where it would break a rule; the platform's
 /// is taken as it is.
-pub fn read(fronts: &Fronts) -> Result<Configs, String> {
+///
+/// # Errors
+/// Where a file cannot be read, decoded, or is refused.
+pub fn read(fronts: &Fronts) -> Result<Configs, ReadError> {
     if let Some(report) = sip_report(fronts).filter(|r| r.refused) {
-        return Err(format!("{} is refused\n{}", report.file, report.render()));
+        return Err(ReadError::Refused { file: report.file.clone(), report: report.render() });
     }
     let config = fronts.config.as_deref().map(|p| decoded(p, config::decode)).transpose()?;
     let sip = fronts.sip.as_deref().map(|p| decoded(p, config::decode_sip)).transpose()?;
@@ -35,10 +67,10 @@
 }
 
 /// Reads one file; what is wrong with it is said in one line.
-fn decoded<T>(path: &Path, decode: fn(&str) -> Result<T, String>) -> Result<T, String> {
-    let named = |e: String| format!("{}: {}", path.display(), e.replace('\n', " "));
-    let text = std::fs::read_to_string(path).map_err(|e| named(e.to_string()))?;
-    decode(&text).map_err(named)
+fn decoded<T>(path: &Path, decode: fn(&str) -> Result<T, ConfigError>) -> Result<T, ReadError> {
+    let file = || path.to_path_buf();
+    let text = std::fs::read_to_string(path).map_err(|source| ReadError::File { file: file(), source })?;
+    decode(&text).map_err(|source| ReadError::Config { file: file(), source })
 }
 
 /// What each front's installation permits; one that permits nothing known where there is no front.
@@ -65,7 +97,7 @@
         (Err(e), Format::Json) => {
             let said = match refused {
                 Some(report) => json!({"accepted": false, "reports": [report]}),
-                None => json!({"accepted": false, "error": e}),
+                None => json!({"accepted": false, "error": e.to_string()}),
             };
             return (said.to_string() + "\n", false);
         }
@@ -152,7 +184,7 @@
             rows.extend(value.map(|value| (name.to_string(), value, origin.clone())));
         };
         cap("open_calls", terms.open_calls.map(|n| n.to_string()));
-        cap("rate", terms.rate.map(|r| format!("{} a second, {} at once", r.per_second, r.burst_most())));
+        cap("rate", terms.rate.map(|r| format!("{} a second, {} at once", r.per_second, r.max_burst())));
         cap(
             "retry_budget",
             terms
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,4 +1,6 @@
 //! The configuration: decoded once, into the few values that the program uses. Unknown keys are skipped.
+//!
+//! The keys are an interface; the fields they are decoded into carry the code's own names.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,6 +11,46 @@
 use crate::list::Listed;
 use crate::{Class, EndpointListScope, Micros, PoolId, Rules, ServerStatus, Settings};
 
+/// Why a configuration cannot be decoded.
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ConfigError {
+    /// The text is no JSON.
+    #[error("not JSON: {0}")]
+    NotJson(String),
+    /// A value must be an object.
+    #[error("{0} is not an object")]
+    NotAnObject(String),
+    /// A key must be there.
+    #[error("'{0}' is missing")]
+    Missing(String),
+    /// A key's value is of another type.
+    #[error("'{key}' is not {expected}")]
+    WrongType {
+        /// The key.
+        key: String,
+        /// What it must be.
+        expected: &'static str,
+    },
+    /// A count or a time is negative.
+    #[error("'{0}' is negative")]
+    Negative(String),
+    /// The DNS-SD service names no transport.
+    #[error("'service' names neither _udp nor _tcp")]
+    NoTransport,
+    /// There is no class.
+    #[error("'services' is missing or empty")]
+    NoClasses,
+    /// The pools of a class are no list.
+    #[error("a class's pools are not a list")]
+    PoolsNotAList,
+    /// A pool of a class is no number.
+    #[error("a pool is not a number")]
+    PoolNotANumber,
+    /// A server's state is unknown.
+    #[error("'lifecycle' is '{0}'")]
+    UnknownLifecycle(String),
+}
+
 /// What a gatekeeper is told at its start.
 #[derive(Clone, Debug)]
 pub struct Config {
@@ -18,7 +60,7 @@
     pub listen: SocketAddr,
     /// For random numbers.
     pub seed: u64,
-    /// Most file descriptors.
+    /// Maximum number of file descriptors.
     pub sockets: usize,
     /// The resolver.
     pub dns: SocketAddr,
@@ -26,14 +68,14 @@
     pub seq: u32,
     /// The list's events up to that one.
     pub known: Vec<(EndpointListScope, Vec<Listed>)>,
-    /// The module's settings.
+    /// The decision module's settings.
     pub settings: Settings,
     /// Names of the classes, by their place in the settings.
     pub classes: Vec<String>,
     /// Connections to servers are bounded by this.
     pub dial_timeout: Micros,
     /// The longest time that a class's callers wait, by its place in the settings.
-    pub patience: Vec<Micros>,
+    pub max_waits: Vec<Micros>,
     /// Where operators connect; `None`: nowhere.
     pub ops: Option<SocketAddr>,
 }
@@ -58,7 +100,7 @@
     pub t1: Micros,
     /// How long a caller waits at most.
     pub wait: Micros,
-    /// The module's settings.
+    /// The decision module's settings.
     pub settings: Settings,
     /// Names of the classes, by their place in the settings.
     pub classes: Vec<String>,
@@ -74,7 +116,7 @@
 impl Config {
     /// What the installation permits.
     pub fn ceilings(&self) -> Ceilings {
-        Ceilings::of(&self.settings, &self.classes, &self.patience, true)
+        Ceilings::of(&self.settings, &self.classes, &self.max_waits, true)
     }
 }
 
@@ -87,42 +129,42 @@
 
 impl<'a> Object<'a> {
     /// Takes a value that must be an object.
-    pub fn of(value: &'a JsonValue, what: &str) -> Result<Self, String> {
-        value.get().map(Object).ok_or_else(|| format!("{what} is not an object"))
+    pub fn of(value: &'a JsonValue, what: &str) -> Result<Self, ConfigError> {
+        value.get().map(Object).ok_or_else(|| ConfigError::NotAnObject(what.to_string()))
     }
 
     /// The value of a key that must be there.
-    pub fn need(&self, key: &str) -> Result<&'a JsonValue, String> {
-        self.0.get(key).ok_or_else(|| format!("'{key}' is missing"))
+    pub fn need(&self, key: &str) -> Result<&'a JsonValue, ConfigError> {
+        self.0.get(key).ok_or_else(|| ConfigError::Missing(key.to_string()))
     }
 
     /// A text that must be there.
-    pub fn text(&self, key: &str) -> Result<&'a str, String> {
+    pub fn text(&self, key: &str) -> Result<&'a str, ConfigError> {
         let text = self.need(key)?.get::<String>();
-        text.map(String::as_str).ok_or_else(|| format!("'{key}' is not a text"))
+        text.map(String::as_str).ok_or_else(|| wrong_type(key, "a text"))
     }
 
     /// An address that must be there.
-    pub fn address(&self, key: &str) -> Result<SocketAddr, String> {
-        self.text(key)?.parse().map_err(|_| format!("'{key}' is not an address"))
+    pub fn address(&self, key: &str) -> Result<SocketAddr, ConfigError> {
+        self.text(key)?.parse().map_err(|_| wrong_type(key, "an address"))
     }
 
     /// An address, where the key is there.
-    fn address_if_any(&self, key: &str) -> Result<Option<SocketAddr>, String> {
+    fn address_if_any(&self, key: &str) -> Result<Option<SocketAddr>, ConfigError> {
         if self.0.contains_key(key) { self.address(key).map(Some) } else { Ok(None) }
     }
 
     /// A number, or 0 where the key is absent.
-    pub fn number(&self, key: &str) -> Result<f64, String> {
+    pub fn number(&self, key: &str) -> Result<f64, ConfigError> {
         let Some(value) = self.0.get(key) else { return Ok(0.0) };
         let number = value.get::<f64>().copied().filter(|n| n.is_finite());
-        number.ok_or_else(|| format!("'{key}' is not a number"))
+        number.ok_or_else(|| wrong_type(key, "a number"))
     }
 
     /// A count or a time, or 0 where the key is absent.
-    pub fn count(&self, key: &str) -> Result<u64, String> {
+    pub fn count(&self, key: &str) -> Result<u64, ConfigError> {
         let number = self.number(key)?;
-        if number < 0.0 { Err(format!("'{key}' is negative")) } else { Ok(number as u64) }
+        if number < 0.0 { Err(ConfigError::Negative(key.to_string())) } else { Ok(number as u64) }
     }
 
     fn flag(&self, key: &str) -> bool {
@@ -130,25 +172,38 @@
     }
 
     /// A list, empty where the key is absent.
-    pub fn list(&self, key: &str) -> Result<&'a [JsonValue], String> {
+    pub fn list(&self, key: &str) -> Result<&'a [JsonValue], ConfigError> {
         let Some(value) = self.0.get(key) else { return Ok(&[]) };
         let list = value.get::<Vec<JsonValue>>();
-        list.map(Vec::as_slice).ok_or_else(|| format!("'{key}' is not a list"))
+        list.map(Vec::as_slice).ok_or_else(|| wrong_type(key, "a list"))
     }
 
-    fn object(&self, key: &str) -> Result<Object<'a>, String> {
+    fn object(&self, key: &str) -> Result<Object<'a>, ConfigError> {
         Object::of(self.need(key)?, &format!("'{key}'"))
     }
 }
 
+fn wrong_type(key: &str, expected: &'static str) -> ConfigError {
+    ConfigError::WrongType { key: key.to_string(), expected }
+}
+
+/// Reads the seed of the random numbers.
+fn decode_seed(top: &Object) -> Result<u64, ConfigError> {
+    u64::from_str_radix(top.text("seed")?, 16).map_err(|_| wrong_type("seed", "hexadecimal"))
+}
+
+fn parse(text: &str) -> Result<JsonValue, ConfigError> {
+    text.parse().map_err(|e: tinyjson::JsonParseError| ConfigError::NotJson(e.to_string()))
+}
+
 /// Decodes a configuration.
-pub fn decode(text: &str) -> Result<Config, String> {
-    let json: JsonValue = text.parse().map_err(|e| format!("not JSON: {e}"))?;
+pub fn decode(text: &str) -> Result<Config, ConfigError> {
+    let json = parse(text)?;
     let top = Object::of(&json, "the configuration")?;
-    let seed = u64::from_str_radix(top.text("seed")?, 16).map_err(|_| "'seed' is not hexadecimal")?;
+    let seed = decode_seed(&top)?;
     let settings = top.object("settings")?;
     let known = top.object("known")?;
-    let (classes, patience) = class_names(&settings)?;
+    let (classes, max_waits) = class_names(&settings)?;
     Ok(Config {
         name: top.text("name")?.to_string(),
         listen: top.address("listen")?,
@@ -160,22 +215,22 @@
         settings: decode_settings(&settings)?,
         classes,
         dial_timeout: settings.object("ceilings")?.count("dial-timeout-us")?,
-        patience,
+        max_waits,
         ops: top.address_if_any("ops")?,
     })
 }
 
 /// Decodes the SIP front's configuration.
-pub fn decode_sip(text: &str) -> Result<SipConfig, String> {
-    let json: JsonValue = text.parse().map_err(|e| format!("not JSON: {e}"))?;
+pub fn decode_sip(text: &str) -> Result<SipConfig, ConfigError> {
+    let json = parse(text)?;
     let top = Object::of(&json, "the configuration")?;
     let settings = top.object("settings")?;
-    let (classes, patience) = class_names(&settings)?;
-    let longest_wait = patience.iter().copied().max().unwrap_or(0);
+    let (classes, max_waits) = class_names(&settings)?;
+    let longest_wait = max_waits.iter().copied().max().unwrap_or(0);
     let or = |given: u64, default: u64| if given > 0 { given } else { default };
     let service = top.text("service")?;
     if !service.split('.').any(|label| label == "_udp" || label == "_tcp") {
-        return Err("'service' names neither _udp nor _tcp".to_string());
+        return Err(ConfigError::NoTransport);
     }
     Ok(SipConfig {
         name: top.text("name")?.to_string(),
@@ -183,7 +238,7 @@
         tcp: top.address("tcp")?,
         dns: top.address("dns")?,
         service: service.to_string(),
-        seed: u64::from_str_radix(top.text("seed")?, 16).map_err(|_| "'seed' is not hexadecimal")?,
+        seed: decode_seed(&top)?,
         t1: or(top.count("t1_ms")?, 500).min(60_000) * 1000,
         wait: or(top.count("wait_ms")?.min(3_600_000) * 1000, longest_wait),
         settings: decode_settings(&settings)?,
@@ -194,17 +249,17 @@
 }
 
 /// The classes' names, and the longest time that their callers wait.
-fn class_names(settings: &Object) -> Result<(Vec<String>, Vec<Micros>), String> {
-    let (mut names, mut patience) = (Vec::new(), Vec::new());
+fn class_names(settings: &Object) -> Result<(Vec<String>, Vec<Micros>), ConfigError> {
+    let (mut names, mut max_waits) = (Vec::new(), Vec::new());
     for service in settings.list("services")? {
         let service = Object::of(service, "a service")?;
         names.push(service.text("name")?.to_string());
-        patience.push(service.count("hard-limit-us")?);
+        max_waits.push(service.count("hard-limit-us")?);
     }
-    if names.is_empty() { Err("'services' is missing or empty".to_string()) } else { Ok((names, patience)) }
+    if names.is_empty() { Err(ConfigError::NoClasses) } else { Ok((names, max_waits)) }
 }
 
-fn decode_settings(settings: &Object) -> Result<Settings, String> {
+fn decode_settings(settings: &Object) -> Result<Settings, ConfigError> {
     let (limits, figures) = (settings.object("ceilings")?, settings.object("rules")?);
     let domain = settings.object("domain")?;
     let pools = domain.list("allowed-pools")?;
@@ -247,15 +302,15 @@
     })
 }
 
-fn pool_list(value: &JsonValue) -> Result<Vec<PoolId>, String> {
-    let list = value.get::<Vec<JsonValue>>().ok_or("a class's pools are not a list")?;
+fn pool_list(value: &JsonValue) -> Result<Vec<PoolId>, ConfigError> {
+    let list = value.get::<Vec<JsonValue>>().ok_or(ConfigError::PoolsNotAList)?;
     let pool = |v: &JsonValue| v.get::<f64>().map(|n| PoolId(*n as i64));
-    list.iter().map(|v| pool(v).ok_or_else(|| "a pool is not a number".to_string())).collect()
+    list.iter().map(|v| pool(v).ok_or(ConfigError::PoolNotANumber)).collect()
 }
 
 /// The events that the list has gone through: the first is the whole list, later ones changed lines, unless
 /// they say that they start anew.
-fn events(known: &Object) -> Result<Vec<(EndpointListScope, Vec<Listed>)>, String> {
+fn events(known: &Object) -> Result<Vec<(EndpointListScope, Vec<Listed>)>, ConfigError> {
     let mut events = Vec::new();
     for (n, event) in known.list("results")?.iter().enumerate() {
         let fleet = Object::of(event, "an event")?.object("fleet")?;
@@ -264,19 +319,19 @@
             (_, true) => EndpointListScope::Complete,
             _ => EndpointListScope::Changes,
         };
-        let lines = fleet.list("instances")?.iter().map(listed).collect::<Result<_, String>>()?;
+        let lines = fleet.list("instances")?.iter().map(listed).collect::<Result<_, ConfigError>>()?;
         events.push((scope, lines));
     }
     Ok(events)
 }
 
-fn listed(line: &JsonValue) -> Result<Listed, String> {
+fn listed(line: &JsonValue) -> Result<Listed, ConfigError> {
     let line = Object::of(line, "a server")?;
     let status = match line.text("lifecycle")? {
         "in_service" => ServerStatus::Up,
         "terminating" => ServerStatus::Draining,
         "terminated" => ServerStatus::Removed,
-        other => return Err(format!("'lifecycle' is '{other}'")),
+        other => return Err(ConfigError::UnknownLifecycle(other.to_string())),
     };
     // A machine that is gone need not have an address any more.
     let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
--- a/src/config_check.rs
+++ b/src/config_check.rs
@@ -9,13 +9,13 @@
 use serde::Deserialize;
 use serde::de::IgnoredAny;
 
-use crate::limits::{ATTEMPTS_MOST, PAUSE_LEAST};
+use crate::limits::{MAX_ATTEMPTS, MIN_PAUSE};
 use crate::ops::{self, Finding, Path, Report};
 
 /// The window in which sends to a server that drains must have ended, at most.
-const DRAIN_GRACE_MOST: u64 = 250_000;
+const MAX_DRAIN_GRACE: u64 = 250_000;
 /// The longest time that a setting may name, in microseconds: an hour.
-const TIME_MOST: u64 = 3_600_000_000;
+const MAX_TIME: u64 = 3_600_000_000;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -220,18 +220,18 @@
     let settings = top("settings");
     let (limits, rules, domain) = (&file.settings.ceilings, &file.settings.rules, &file.settings.domain);
     let ceilings = settings.key("ceilings");
-    if !(1..=ATTEMPTS_MOST).contains(&limits.max_attempts) {
-        let text = format!("{} attempts, and a call may have {ATTEMPTS_MOST} at most", limits.max_attempts);
+    if !(1..=MAX_ATTEMPTS).contains(&limits.max_attempts) {
+        let text = format!("{} attempts, and a call may have {MAX_ATTEMPTS} at most", limits.max_attempts);
         say(ceilings.key("max-attempts"), "attempts", text, "write 1 to 4");
     }
-    if domain.clear_wait_us < PAUSE_LEAST {
+    if domain.clear_wait_us < MIN_PAUSE {
         let text =
-            format!("a release wait of {} us, and the rule asks for {PAUSE_LEAST}", domain.clear_wait_us);
+            format!("a release wait of {} us, and the rule asks for {MIN_PAUSE}", domain.clear_wait_us);
         say(settings.key("domain").key("clear-wait-us"), "pause", text, "write 500000 or more");
     }
     let at = settings.key("rules");
-    if rules.drain_grace_us > DRAIN_GRACE_MOST {
-        let text = format!("sends to a draining server must end within {DRAIN_GRACE_MOST} us");
+    if rules.drain_grace_us > MAX_DRAIN_GRACE {
+        let text = format!("sends to a draining server must end within {MAX_DRAIN_GRACE} us");
         say(at.key("drain-grace-us"), "drain", text, "write 250000 or less");
     }
     if !(rules.start_capacity > 0.0 && rules.start_capacity <= 1.0) {
@@ -262,7 +262,7 @@
         (at.key("fall-us"), rules.fall_us),
         (settings.key("tick-us"), file.settings.tick_us),
     ];
-    for (at, time) in times.into_iter().filter(|(_, time)| *time > TIME_MOST) {
+    for (at, time) in times.into_iter().filter(|(_, time)| *time > MAX_TIME) {
         say(
             at,
             "range",
@@ -293,7 +293,7 @@
                 "give each its own",
             );
         }
-        if class.hard_limit_us == 0 || class.hard_limit_us > TIME_MOST {
+        if class.hard_limit_us == 0 || class.hard_limit_us > MAX_TIME {
             let text = "callers of a class wait more than nothing and up to an hour";
             say(at.key("hard-limit-us"), "range", text.into(), "write microseconds, as in 9000000");
         } else if class.aim_us > class.hard_limit_us {
--- a/src/fleet/ask.rs
+++ b/src/fleet/ask.rs
@@ -1,4 +1,4 @@
-//! The command line's questions to a gatekeeper's door.
+//! The command line's questions to a gatekeeper's admin endpoint.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -6,38 +6,34 @@
 use std::time::Duration;
 
 use super::status::{self, Line, Status, table};
-use crate::cli::Format;
+use crate::cli::{Format, Question};
 
-/// A door answers within a second, or there is nobody to ask.
-const PATIENCE: Duration = Duration::from_secs(3);
+/// The endpoint answers within a second, or there is nobody to ask.
+const TIMEOUT: Duration = Duration::from_secs(3);
 /// Exit status: there is nobody to ask.
-pub const NOBODY: u8 = 69;
+const EXIT_NO_ANSWER: u8 = 69;
 /// The longest answer that is read.
-const ANSWER_BYTES: u64 = 4 * 1024 * 1024;
+const MAX_ANSWER_BYTES: u64 = 4 * 1024 * 1024;
 
-/// What is asked.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Question {
-    /// The whole object.
-    Status,
-    /// The members.
-    Members,
-    /// Whose each item of work is.
-    Owners,
-    /// What the fleet's log holds of late.
-    Log,
+/// A gatekeeper's admin endpoint cannot be asked.
+#[derive(Debug, thiserror::Error)]
+enum AskError {
+    #[error("nobody answers at {address}: {source}")]
+    NoAnswer { address: SocketAddr, source: std::io::Error },
+    #[error("what answers at {0} is no door")]
+    NotAnEndpoint(SocketAddr),
 }
 
-/// Asks a door over HTTP: the status and the body.
-fn get(door: SocketAddr, path: &str) -> Result<(u16, String), String> {
-    let named = |e: std::io::Error| format!("nobody answers at {door}: {e}");
-    let mut stream = TcpStream::connect_timeout(&door, PATIENCE).map_err(named)?;
-    stream.set_read_timeout(Some(PATIENCE)).map_err(named)?;
-    stream.set_write_timeout(Some(PATIENCE)).map_err(named)?;
+/// Asks over HTTP and returns the status and the body.
+fn get(door: SocketAddr, path: &str) -> Result<(u16, String), AskError> {
+    let named = |source| AskError::NoAnswer { address: door, source };
+    let mut stream = TcpStream::connect_timeout(&door, TIMEOUT).map_err(named)?;
+    stream.set_read_timeout(Some(TIMEOUT)).map_err(named)?;
+    stream.set_write_timeout(Some(TIMEOUT)).map_err(named)?;
     let call = format!("GET {path} HTTP/1.1\r\nHost: {door}\r\nConnection: close\r\n\r\n");
     stream.write_all(call.as_bytes()).map_err(named)?;
     let mut bytes = Vec::new();
-    stream.take(ANSWER_BYTES).read_to_end(&mut bytes).map_err(named)?;
+    stream.take(MAX_ANSWER_BYTES).read_to_end(&mut bytes).map_err(named)?;
     let mut headers = [httparse::EMPTY_HEADER; 16];
     let mut answer = httparse::Response::new(&mut headers);
     match answer.parse(&bytes) {
@@ -45,7 +41,7 @@
             let body = String::from_utf8_lossy(&bytes[head..]).into_owned();
             Ok((answer.code.unwrap_or_default(), body))
         }
-        _ => Err(format!("what answers at {door} is no door")),
+        _ => Err(AskError::NotAnEndpoint(door)),
     }
 }
 
@@ -56,7 +52,7 @@
         Ok(answer) => answer,
         Err(e) => {
             eprintln!("cobaltspool: {e}");
-            return ExitCode::from(NOBODY);
+            return ExitCode::from(EXIT_NO_ANSWER);
         }
     };
     if status != 200 {
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,5 +1,5 @@
 //! The fleet: how gatekeepers see each other and own resources. The decisions are `cobaltspool-fleet`'s, a crate without I/O; here
-//! are the section of the operators' file (`settings`), what operators read (`status`), the sockets (`shell`, `stream`,
+//! are the section of the operators' file (`settings`), what operators read (`status`), the sockets (`runtime`, `stream`,
 //! `peer_connections`), a voter's folder (`wal_writer`), what joins them to the consensus and the leases
 //! (`consensus_node`), and the command line's questions to the admin endpoint (`ask`). Off unless the file has a `fleet`
 //! section: then there is no socket, task or table. The core knows none of it; it is told a number of gatekeepers.
@@ -7,12 +7,12 @@
 pub mod ask;
 mod consensus_node;
 mod peer_connections;
+mod runtime;
 pub mod settings;
-mod shell;
 pub mod status;
 mod stream;
 #[cfg(feature = "faults")]
 mod test_effects;
 mod wal_writer;
 
-pub use shell::{Joined, join};
+pub use runtime::{Joined, join};
--- /dev/null
+++ b/src/fleet/runtime/events.rs
@@ -0,0 +1,36 @@
+//! The membership's events as log lines.
+
+use super::*;
+
+impl Member {
+    pub(super) fn log_event(&self, event: Event) {
+        match event {
+            Event::Joined(id) => tracing::info!(target: "fleet", member = %id, "joined"),
+            Event::Suspected(id, by) => tracing::info!(target: "fleet", member = %id, %by, "suspect"),
+            Event::Down(id, by) => tracing::warn!(target: "fleet", member = %id, %by, "down"),
+            Event::Back(id) => tracing::info!(target: "fleet", member = %id, "back"),
+            Event::Left(id) => tracing::info!(target: "fleet", member = %id, "left"),
+            Event::Refuted => tracing::info!(target: "fleet", "was doubted, and says that it is there"),
+            Event::Stalled(missed) => {
+                tracing::warn!(target: "fleet", missed_ms = missed / 1000, "missed time: doubts itself, and not the others");
+            }
+            Event::DuplicateId(twin) => {
+                let (address, age_ms) = (twin.address, twin.age / 1000);
+                tracing::error!(target: "fleet", id = %self.set.id, %address, age_ms, "another process runs under this id");
+            }
+            Event::YieldedToDuplicate(twin) => {
+                tracing::error!(
+                    target: "fleet", id = %self.set.id, address = %twin.address,
+                    "it is the newer start: this one is silent in the fleet until the id is free"
+                );
+            }
+            Event::Resumed => {
+                tracing::warn!(target: "fleet", id = %self.set.id, "the id is free: speaks again")
+            }
+            Event::Settled(live) => tracing::info!(target: "fleet", live, "settled"),
+            Event::Full(id) => {
+                tracing::warn!(target: "fleet", member = %id, "the table is full: not taken in")
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/fleet/runtime/streams.rs
@@ -0,0 +1,101 @@
+//! Streams: exchanges of whole tables with other members, and the bounds on them.
+
+use super::*;
+
+impl Member {
+    pub(super) async fn accept(self: &Rc<Self>, tcp: &TcpListener) {
+        let places = Rc::new(());
+        loop {
+            let Ok((mut stream, _)) = tcp.accept().await else {
+                sleep(Duration::from_millis(20)).await;
+                continue;
+            };
+            if Rc::strong_count(&places) > MAX_INBOUND_STREAMS {
+                self.count(|d| d.streams += 1);
+                continue;
+            }
+            let (member, place) = (self.clone(), places.clone());
+            tokio::task::spawn_local(async move {
+                // A peer that sends a message first goes on sending messages, under a bound of its own.
+                let first = timeout(stream::WHOLE, stream::read(&mut stream, MAX_ENVELOPE_BYTES)).await;
+                let Ok(Ok(Some(bytes))) = first else {
+                    if matches!(first, Ok(Ok(None))) {
+                        member.count(|d| d.oversized += 1);
+                    }
+                    return;
+                };
+                if codec::is_envelope(&bytes) {
+                    drop(place);
+                    return member.receive_messages(stream, bytes).await;
+                }
+                let whole = async {
+                    let Some(frame) = member.decode(&bytes, MAX_STREAM_BYTES) else { return Ok(()) };
+                    let answer = {
+                        let mut membership = member.membership.borrow_mut();
+                        membership.is_active().then(|| membership.table_frame(member.now()))
+                    };
+                    member.merge_table(frame);
+                    match answer {
+                        Some(answer) => {
+                            stream::write(&mut stream, &codec::encode(&answer, &member.set.key)).await
+                        }
+                        None => Ok(()),
+                    }
+                };
+                // An exchange that fails or takes too long is made up for by the next.
+                let _ = timeout(stream::WHOLE, whole).await;
+                drop(place);
+            });
+        }
+    }
+
+    pub(super) fn decode(&self, bytes: &[u8], most: usize) -> Option<Frame> {
+        match codec::decode(bytes, most, &self.set.key) {
+            Ok(frame) => Some(frame),
+            Err(why) => {
+                self.count_drop(why);
+                None
+            }
+        }
+    }
+
+    pub(super) fn count_drop(&self, why: DecodeError) {
+        self.count(|d| match why {
+            DecodeError::Truncated => d.cut += 1,
+            DecodeError::Oversized => d.oversized += 1,
+            DecodeError::Forged => d.forged += 1,
+            DecodeError::Version => d.version += 1,
+        });
+    }
+
+    pub(super) fn merge_table(self: &Rc<Self>, frame: Frame) {
+        let mut out = Vec::new();
+        self.membership.borrow_mut().handle_table(self.now(), frame, &mut out);
+        self.carry_out(out, None);
+    }
+
+    pub(super) fn exchange_tables(self: &Rc<Self>, to: &Destination, back: Option<SocketAddr>) {
+        let Some(address) = self.resolve(to, back) else { return };
+        if self.outbound_streams.get() >= MAX_OUTBOUND_STREAMS {
+            return; // another is under way; differences are found again
+        }
+        self.outbound_streams.set(self.outbound_streams.get() + 1);
+        let member = self.clone();
+        tokio::task::spawn_local(async move {
+            let whole = async {
+                let mut stream = TcpStream::connect(address).await?;
+                let own = member.membership.borrow_mut().table_frame(member.now());
+                stream::write(&mut stream, &codec::encode(&own, &member.set.key)).await?;
+                if let Some(frame) = stream::read(&mut stream, MAX_STREAM_BYTES)
+                    .await?
+                    .and_then(|b| member.decode(&b, MAX_STREAM_BYTES))
+                {
+                    member.merge_table(frame);
+                }
+                Ok::<_, io::Error>(())
+            };
+            let _ = timeout(stream::WHOLE, whole).await;
+            member.outbound_streams.set(member.outbound_streams.get() - 1);
+        });
+    }
+}
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
+use cobaltspool_fleet::codec::Key;
 use cobaltspool_fleet::member::{MemberId, NAME_BYTES};
-use cobaltspool_fleet::wire::Key;
 use schemars::JsonSchema;
 use serde::Deserialize;
 use serde_json::Value;
@@ -17,9 +17,9 @@
 /// From one probe to the next, where the file does not say.
 const PERIOD: Micros = 1_000_000;
 /// A period is at least ...
-const PERIOD_LEAST: Micros = 100_000;
+const MIN_PERIOD: Micros = 100_000;
 /// ... and at most this.
-const PERIOD_MOST: Micros = 60_000_000;
+const MAX_PERIOD: Micros = 60_000_000;
 /// The dead are remembered for so long, where the file does not say.
 const MEMORY: Micros = 3_600_000_000;
 /// A key has at least so many bytes.
@@ -234,12 +234,12 @@
             );
         }
         let period = section.period.map_or(PERIOD, |p| p.0);
-        if !(PERIOD_LEAST..=PERIOD_MOST).contains(&period) {
+        if !(MIN_PERIOD..=MAX_PERIOD).contains(&period) {
             let at = self.at.key("period");
             self.wrong("period", at, "a period is 100 ms to 1 min", "write one between, as in \"1s\"");
         }
         let lease = section.lease.map_or(period * 4, |l| l.0);
-        if section.lease.is_some() && !(period * 2..=PERIOD_MOST).contains(&lease) {
+        if section.lease.is_some() && !(period * 2..=MAX_PERIOD).contains(&lease) {
             let at = self.at.key("lease");
             self.wrong("lease", at, "a lease is 2 periods to 1 min", "write one between, as in \"4s\"");
         }
@@ -315,7 +315,7 @@
                 self.wrong("key", at, format!("the key has {size} bytes, 16 to 4096 are wanted"), wanted);
                 None
             }
-            Ok((_, bytes)) => Some(Key::of(&bytes)),
+            Ok((_, bytes)) => Some(Key::from_bytes(&bytes)),
             Err(e) => {
                 self.wrong("key", at, format!("the key cannot be read: {e}"), wanted);
                 None
--- a/src/fleet/status.rs
+++ b/src/fleet/status.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use cobaltspool_fleet::Micros;
-use cobaltspool_fleet::view::{Shown, View};
+use cobaltspool_fleet::membership::{MemberReport, Membership};
 use serde::{Deserialize, Serialize};
 
 /// The object. A part that is not configured or not built is null or empty.
@@ -26,9 +26,11 @@
     /// A release; there is none yet.
     pub release: Option<serde_json::Value>,
     /// This process has yielded to a newer start under its id, and is silent in the fleet.
-    pub stands_by: bool,
+    #[serde(rename = "stands_by")]
+    pub is_standby: bool,
     /// The other process under its id, where one is known.
-    pub twin: Option<Twin>,
+    #[serde(rename = "twin")]
+    pub duplicate: Option<DuplicateProcess>,
     /// Frames that were dropped, by cause.
     pub dropped: Dropped,
     /// The settling bound at this size, in milliseconds.
@@ -126,7 +128,7 @@
 
 /// The other process under one id.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Twin {
+pub struct DuplicateProcess {
     /// Where it is reached.
     pub address: SocketAddr,
     /// How long it had run when it was last heard of.
@@ -157,27 +159,28 @@
 impl Status {
     /// As it is now.
     pub fn of(
-        view: &View,
+        membership: &Membership,
         now: Micros,
         period: Micros,
         dropped: Dropped,
         consensus: Option<Consensus>,
     ) -> Status {
-        let members = view.members(now);
-        let me = members.iter().find(|m| view.is_me(&m.id));
-        let twin = view.twin().map(|t| Twin { address: t.address, age_ms: t.age / 1000 });
+        let members = membership.members(now);
+        let me = members.iter().find(|m| membership.is_self(&m.id));
+        let duplicate =
+            membership.duplicate().map(|t| DuplicateProcess { address: t.address, age_ms: t.age / 1000 });
         Status {
             id: me.map(|m| m.id.to_string()).unwrap_or_default(),
-            settled: view.settled(now),
+            settled: membership.is_settled(now),
             majority: consensus.as_ref().map(|c| c.majority),
             voter: consensus.as_ref().and_then(|c| c.voter.clone()),
             owners: consensus.map(|c| c.owners).unwrap_or_default(),
             out: Vec::new(),
             release: None,
-            stands_by: view.stands_by(),
-            twin,
-            dropped: Dropped { replayed: dropped.replayed + view.drops().replayed, ..dropped },
-            bound_ms: View::bound(period, members.len()) / 1000,
+            is_standby: membership.is_standby(),
+            duplicate,
+            dropped: Dropped { replayed: dropped.replayed + membership.drop_counters().replayed, ..dropped },
+            bound_ms: Membership::settling_bound(period, members.len()) / 1000,
             members: members.into_iter().map(Member::of).collect(),
         }
     }
@@ -191,11 +194,11 @@
             self.members.len(),
             if self.settled { "settled" } else { "not settled" }
         );
-        if let Some(twin) = &self.twin {
-            let what = if self.stands_by { "stands by for it" } else { "is the newer start" };
+        if let Some(duplicate) = &self.duplicate {
+            let what = if self.is_standby { "stands by for it" } else { "is the newer start" };
             out.push_str(&format!(
                 "another process runs as {} at {}; this one {what}\n",
-                self.id, twin.address
+                self.id, duplicate.address
             ));
         }
         let dropped = serde_json::to_value(self.dropped).unwrap_or_default();
@@ -283,8 +286,8 @@
 }
 
 impl Member {
-    fn of(shown: Shown) -> Member {
-        let news = shown.news;
+    fn of(shown: MemberReport) -> Member {
+        let news = shown.info;
         Member {
             id: shown.id.to_string(),
             state: shown.state.name().to_string(),
@@ -293,7 +296,7 @@
             incarnation: shown.incarnation,
             version: news.version.to_string(),
             heard_ms: shown.heard.map(|t| t / 1000),
-            by: shown.by.map(|by| by.to_string()),
+            by: shown.reported_by.map(|by| by.to_string()),
             ready: news.ready,
             draining: news.draining,
             leaving: news.leaving,
--- a/src/limits/check.rs
+++ b/src/limits/check.rs
@@ -7,17 +7,17 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 use super::file::{Match, Terms};
-use super::plan::{ATTEMPTS_MOST, ClassInfo, Limits, Origin, Plan, Sourced};
+use super::plan::{ClassInfo, Limits, MAX_ATTEMPTS, Origin, Plan, Sourced};
 use super::units::Span;
 use crate::Micros;
 use crate::ops::{Finding, Path};
 
 /// The longest prefix of a number.
-const PREFIX_MOST: usize = 64;
+const MAX_PREFIX: usize = 64;
 /// The digits of a number on the platform.
 const HEX_DIGITS: usize = 16;
 /// Findings of one kind after which the search for more of it ends: the report tells fewer.
-const FINDINGS_MOST: usize = 1_000;
+const MAX_FINDINGS: usize = 1_000;
 
 /// What has been found, each thing once however many routes share it.
 #[derive(Default)]
@@ -29,7 +29,7 @@
 impl Found {
     fn add(&mut self, finding: Finding) {
         let places = finding.places.iter().map(|(p, _)| p.clone()).collect();
-        if self.findings.len() < 10 * FINDINGS_MOST && self.seen.insert((finding.rule, places)) {
+        if self.findings.len() < 10 * MAX_FINDINGS && self.seen.insert((finding.rule, places)) {
             self.findings.push(finding);
         }
     }
@@ -95,8 +95,8 @@
             }
             let prefix = m.prefix.as_str();
             let at_prefix = at.key("match").key("prefix");
-            if prefix.len() > PREFIX_MOST || prefix.chars().any(|c| c.is_whitespace() || c.is_control()) {
-                let text = format!("the prefix has blanks, or more than {PREFIX_MOST} bytes: no number has");
+            if prefix.len() > MAX_PREFIX || prefix.chars().any(|c| c.is_whitespace() || c.is_control()) {
+                let text = format!("the prefix has blanks, or more than {MAX_PREFIX} bytes: no number has");
                 found.add(Finding::error("prefix", at_prefix, text, "write how the number called begins"));
             } else if self.ceilings.hex_numbers
                 && (prefix.len() > HEX_DIGITS
@@ -136,7 +136,7 @@
             for other in self.trie.along(&a.prefix).flatten().map(|n| *n as usize) {
                 let b = &self.section.routes[other].matches;
                 let tie = tied(a, b) && (a.prefix != b.prefix || n > other);
-                if !tie || ties >= FINDINGS_MOST {
+                if !tie || ties >= MAX_FINDINGS {
                     continue;
                 }
                 let meet = Match {
@@ -233,9 +233,9 @@
         };
     let span = |micros: Micros| Span(micros).to_string();
     let attempts = limits.attempts.value;
-    let most = ceilings.attempts_most();
+    let most = ceilings.max_attempts();
     if attempts > most {
-        let by = if ceilings.attempts > 0 && ceilings.attempts < ATTEMPTS_MOST {
+        let by = if ceilings.attempts > 0 && ceilings.attempts < MAX_ATTEMPTS {
             "the platform allows"
         } else {
             "a call may have"
@@ -248,7 +248,7 @@
             &[(&limits.attempts.from, "attempts", String::new())],
         );
     }
-    let least = ceilings.pause_least();
+    let least = ceilings.min_pause();
     let by = if ceilings.release_wait > 0 { "the installation's release wait" } else { "the rule" };
     for (pause, setting) in pauses(limits) {
         if pause.value < least {
@@ -370,7 +370,7 @@
 /// When a call's try of this number, from 1, begins, counted from its first.
 fn first_start(limits: &Limits, number: u32, pace: Pace) -> Micros {
     (1..number).fold(0, |at: Micros, tries| {
-        let grown = limits.back_off_most(tries);
+        let grown = limits.max_back_off(tries);
         let gap = match pace {
             Pace::Soonest => {
                 let shortest = pauses(limits).iter().map(|(p, _)| p.value).chain([limits.full.value]).min();
--- a/src/limits/file.rs
+++ b/src/limits/file.rs
@@ -10,7 +10,7 @@
 use crate::ops::{Finding, Path, decode};
 
 /// Most routes; at the bound the file is refused.
-pub const ROUTES_MOST: usize = 200_000;
+pub const MAX_ROUTES: usize = 200_000;
 
 /// The section. A setting of a route goes before its class's, and that before the default. `open_calls`, `rate` and
 /// `retry_budget` count where they are written: a call passes all those of its route, its class and the default.
@@ -165,7 +165,7 @@
 
 impl Rate {
     /// How many set-ups may come at once.
-    pub fn burst_most(&self) -> u32 {
+    pub fn max_burst(&self) -> u32 {
         self.burst.unwrap_or_else(|| self.per_second.ceil().clamp(1.0, 1e9) as u32)
     }
 }
@@ -197,8 +197,8 @@
                     let remedy = "write the classes by name between { and }";
                     findings.push(Finding::error("form", at, "'classes' is no object", remedy));
                 }
-                ("routes", Value::Array(routes)) if routes.len() > ROUTES_MOST => {
-                    let text = format!("there are {} routes, and {ROUTES_MOST} are the most", routes.len());
+                ("routes", Value::Array(routes)) if routes.len() > MAX_ROUTES => {
+                    let text = format!("there are {} routes, and {MAX_ROUTES} are the most", routes.len());
                     findings.push(Finding::error(
                         "size",
                         at,
--- a/src/limits/live.rs
+++ b/src/limits/live.rs
@@ -20,7 +20,7 @@
 /// Advice where open calls are at their most: nobody can tell when one ends.
 const OPEN_WAIT: Micros = 1_000_000;
 /// The longest advice where the file bounds none.
-const WAIT_MOST: Micros = 30_000_000;
+const MAX_WAIT: Micros = 30_000_000;
 /// The part of each cap that is this process's while another of the same gatekeeper takes calls too: the two keep the
 /// caps together.
 const SHARED_PART: f64 = 0.5;
@@ -37,13 +37,13 @@
 
 impl Bucket {
     fn new(rate: Rate, now: Micros) -> Bucket {
-        Bucket { rate, tokens: f64::from(rate.burst_most()), at: now, promised: now }
+        Bucket { rate, tokens: f64::from(rate.max_burst()), at: now, promised: now }
     }
 
     /// Earns what is due; `part` of the rate and of the burst is this process's.
     fn fill(&mut self, now: Micros, part: f64) {
         let grown = now.saturating_sub(self.at) as f64 * self.rate.per_second / 1e6;
-        let most = (f64::from(self.rate.burst_most()) * part).max(1.0);
+        let most = (f64::from(self.rate.max_burst()) * part).max(1.0);
         self.tokens = (self.tokens + grown * part).min(most);
         self.at = self.at.max(now);
     }
@@ -98,7 +98,7 @@
 #[derive(Debug)]
 struct Level {
     name: String,
-    open_most: Option<u32>,
+    max_open_calls: Option<u32>,
     open: u32,
     bucket: Option<Bucket>,
     budget: Option<Budget>,
@@ -106,18 +106,18 @@
 
 impl Level {
     fn new(name: String, terms: &Terms, now: Micros) -> Level {
-        let mut level = Level { name, open_most: None, open: 0, bucket: None, budget: None };
+        let mut level = Level { name, max_open_calls: None, open: 0, bucket: None, budget: None };
         level.set(terms, now);
         level
     }
 
     /// Takes new terms; what was counted goes on. A bucket has no more than the new burst.
     fn set(&mut self, terms: &Terms, now: Micros) {
-        self.open_most = terms.open_calls;
+        self.max_open_calls = terms.open_calls;
         self.bucket = terms.rate.map(|rate| match self.bucket.take() {
             Some(mut bucket) => {
                 bucket.fill(now, 1.0);
-                bucket.tokens = bucket.tokens.min(f64::from(rate.burst_most()));
+                bucket.tokens = bucket.tokens.min(f64::from(rate.max_burst()));
                 Bucket { rate, ..bucket }
             }
             None => Bucket::new(rate, now),
@@ -314,7 +314,7 @@
             Some(ready) => ready.clone(),
             None => self.make_ready(route, asked.class, now),
         };
-        let (least, most) = limits.come_back.value.map_or((1, WAIT_MOST), |c| (c.least.0, c.most.0));
+        let (least, most) = limits.come_back.value.map_or((1, MAX_WAIT), |c| (c.least.0, c.most.0));
         let part = if self.shared { SHARED_PART } else { 1.0 };
         // All caps first: a call that one of them turns away takes nothing of the others.
         for level in levels.iter() {
@@ -324,7 +324,9 @@
                 level: level.name.clone(),
                 cap,
             };
-            if level.open_most.is_some_and(|most| f64::from(level.open) >= (f64::from(most) * part).max(1.0))
+            if level
+                .max_open_calls
+                .is_some_and(|most| f64::from(level.open) >= (f64::from(most) * part).max(1.0))
             {
                 return Err(refused(OPEN_WAIT, "open_calls"));
             }
@@ -385,7 +387,7 @@
         }
         let mut rest = held.limits.pause(outcome);
         if outcome != Outcome::Unreachable {
-            let most = held.limits.back_off_most(tries) as f64;
+            let most = held.limits.max_back_off(tries) as f64;
             let drawn = f64::from(self.rng.next_u32()) / f64::from(u32::MAX) * held.limits.jitter();
             rest = rest.saturating_add((most * (1.0 - drawn)) as Micros);
         }
--- a/src/limits/live/tests.rs
+++ b/src/limits/live/tests.rs
@@ -222,7 +222,7 @@
                             taken.sent(now, 0);
                             held.push((n, taken, 1));
                         }
-                        Err(refusal) => prop_assert!(refusal.wait > 0 && refusal.wait <= WAIT_MOST),
+                        Err(refusal) => prop_assert!(refusal.wait > 0 && refusal.wait <= MAX_WAIT),
                     }
                 }
                 Do::Fail(n, how) if !held.is_empty() => {
--- a/src/limits/mod.rs
+++ b/src/limits/mod.rs
@@ -15,4 +15,4 @@
 pub use check::faults;
 pub use draft::Draft;
 pub use live::{Asked, Held, Live, Refusal, Verdict};
-pub use plan::{ATTEMPTS_MOST, Ceilings, ClassInfo, Limits, Origin, PAUSE_LEAST, Plan, Sourced};
+pub use plan::{Ceilings, ClassInfo, Limits, MAX_ATTEMPTS, MIN_PAUSE, Origin, Plan, Sourced};
--- a/src/limits/plan.rs
+++ b/src/limits/plan.rs
@@ -13,9 +13,9 @@
 use crate::{Micros, Outcome, Settings};
 
 /// Most tries for one call, whatever else is said.
-pub const ATTEMPTS_MOST: u32 = 4;
+pub const MAX_ATTEMPTS: u32 = 4;
 /// The least pause after a try that timed out, was reset or was called off, where the installation names none.
-pub const PAUSE_LEAST: Micros = 500_000;
+pub const MIN_PAUSE: Micros = 500_000;
 
 /// A class as the settings have it.
 #[derive(Clone, Debug, PartialEq)]
@@ -67,13 +67,13 @@
     }
 
     /// Most tries by the installation's word.
-    pub fn attempts_most(&self) -> u32 {
-        if self.attempts == 0 { ATTEMPTS_MOST } else { self.attempts.min(ATTEMPTS_MOST) }
+    pub fn max_attempts(&self) -> u32 {
+        if self.attempts == 0 { MAX_ATTEMPTS } else { self.attempts.min(MAX_ATTEMPTS) }
     }
 
     /// The least pause after a try that may have run.
-    pub fn pause_least(&self) -> Micros {
-        if self.release_wait > 0 { self.release_wait } else { PAUSE_LEAST }
+    pub fn min_pause(&self) -> Micros {
+        if self.release_wait > 0 { self.release_wait } else { MIN_PAUSE }
     }
 }
 
@@ -168,7 +168,7 @@
     }
 
     /// The longest that back-off adds after this many tries, 1 or more.
-    pub fn back_off_most(&self, tries: u32) -> Micros {
+    pub fn max_back_off(&self, tries: u32) -> Micros {
         let Some(b) = self.back_off.value else { return 0 };
         let grown = b.first.0 as f64 * b.factor.powi(tries.saturating_sub(1).min(64) as i32);
         grown.min(b.most.0 as f64) as Micros
@@ -272,11 +272,11 @@
         let pause_from = if self.ceilings.release_wait > 0 { &platform } else { &program };
         let attempts_from = if self.ceilings.attempts > 0 { &platform } else { &program };
         let pause = |get: fn(&Terms) -> Option<Span>| {
-            pick(levels(), |t| get(t).map(|s| s.0), self.ceilings.pause_least(), pause_from.clone())
+            pick(levels(), |t| get(t).map(|s| s.0), self.ceilings.min_pause(), pause_from.clone())
         };
         Limits {
             time_out: pick(levels(), |t| t.time_out.map(Some), None, program.clone()),
-            attempts: pick(levels(), |t| t.attempts, self.ceilings.attempts_most(), attempts_from.clone()),
+            attempts: pick(levels(), |t| t.attempts, self.ceilings.max_attempts(), attempts_from.clone()),
             timed_out: pause(|t| t.pause.timed_out),
             reset: pause(|t| t.pause.reset),
             cancelled: pause(|t| t.pause.cancelled),
--- a/src/list/dns.rs
+++ b/src/list/dns.rs
@@ -5,6 +5,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::str::FromStr;
 
+use hickory_proto::ProtoError;
 use hickory_proto::op::{Message, Query, ResponseCode};
 use hickory_proto::rr::rdata::TXT;
 use hickory_proto::rr::{Name, RData, RecordType};
@@ -13,13 +14,33 @@
 
 use super::Listed;
 
+/// A question cannot be asked.
+#[derive(Debug, thiserror::Error)]
+pub enum QuestionError {
+    /// Its name is no domain name.
+    #[error("{name}: {source}")]
+    Name {
+        /// The name.
+        name: String,
+        /// Why.
+        source: ProtoError,
+    },
+    /// It cannot be encoded.
+    #[error(transparent)]
+    Encode(#[from] ProtoError),
+}
+
 /// A question, ready to be sent, and its id.
-pub fn question(name: &str, kind: RecordType) -> Result<(u16, Vec<u8>), String> {
-    let name = Name::from_str(name).map_err(|e| format!("{name}: {e}"))?;
+///
+/// # Errors
+/// Where the name is no domain name.
+pub fn question(name: &str, kind: RecordType) -> Result<(u16, Vec<u8>), QuestionError> {
+    let invalid = |source| QuestionError::Name { name: name.to_string(), source };
+    let name = Name::from_str(name).map_err(invalid)?;
     let mut message = Message::query();
     message.add_query(Query::query(name, kind));
     let id = message.metadata.id;
-    message.to_vec().map(|bytes| (id, bytes)).map_err(|e| e.to_string())
+    Ok((id, message.to_vec()?))
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
--- a/src/list/resolver.rs
+++ b/src/list/resolver.rs
@@ -25,7 +25,7 @@
 const ANSWER_BYTES: usize = 8192;
 /// Questions whose answers may still come, at most; beyond it the oldest is let go. Answers may be later than the next
 /// question, and a list that is taken late is better than none.
-const OPEN_MOST: usize = 24;
+const MAX_OPEN: usize = 24;
 /// A resolver from which no list came for this long is silent.
 const SILENT: Duration = Duration::from_secs(5);
 
@@ -157,7 +157,7 @@
             Service::DnsSd(name) => (name, RecordType::PTR),
         };
         let (newest, bytes) = question(name, kind).ok()?;
-        if self.open.len() >= OPEN_MOST {
+        if self.open.len() >= MAX_OPEN {
             self.open.pop_front();
         }
         self.open.push_back((newest, clock::now()));
--- a/src/log.rs
+++ b/src/log.rs
@@ -16,7 +16,7 @@
 use tracing_appender::non_blocking::{NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::filter::Targets;
 use tracing_subscriber::layer::{Context, Layer, SubscriberExt as _};
-use tracing_subscriber::util::SubscriberInitExt as _;
+use tracing_subscriber::util::{SubscriberInitExt as _, TryInitError};
 
 use crate::ops;
 
@@ -54,14 +54,19 @@
     }
 }
 
+/// A text that names no form of the log.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("'{0}' is no form of the log; write text or json")]
+pub struct InvalidForm(String);
+
 impl FromStr for Form {
-    type Err = String;
+    type Err = InvalidForm;
 
-    fn from_str(text: &str) -> Result<Form, String> {
+    fn from_str(text: &str) -> Result<Form, InvalidForm> {
         match text {
             "text" => Ok(Form::Text),
             "json" => Ok(Form::Json),
-            other => Err(format!("'{other}' is no form of the log; write text or json")),
+            other => Err(InvalidForm(other.to_string())),
         }
     }
 }
@@ -119,22 +124,44 @@
 #[derive(Clone, Debug)]
 pub struct Levels(Targets);
 
+/// What a text of levels may be.
+const LEVELS_HINT: &str =
+    "write a level (error, warn, info, debug, trace, off), or TARGET=LEVEL, with commas between";
+
+/// A text that names no levels of the log.
+#[derive(Debug, thiserror::Error)]
+pub enum InvalidLevels {
+    /// A word is no level.
+    #[error("'{0}' is no level of the log; {LEVELS_HINT}")]
+    NoLevel(String),
+    /// The whole cannot be read.
+    #[error("'{text}' names no levels of the log ({source}); {LEVELS_HINT}")]
+    Unreadable {
+        /// The text.
+        text: String,
+        /// Why.
+        source: tracing_subscriber::filter::ParseError,
+    },
+}
+
 impl FromStr for Levels {
-    type Err = String;
+    type Err = InvalidLevels;
 
-    fn from_str(text: &str) -> Result<Levels, String> {
-        let hint =
-            "write a level (error, warn, info, debug, trace, off), or TARGET=LEVEL, with commas between";
+    fn from_str(text: &str) -> Result<Levels, InvalidLevels> {
         // A word alone is a level: as a target it would turn everything on there, which no one means to ask for.
         if let Some(word) = text.split(',').find(|w| !w.contains('=') && w.parse::<LevelFilter>().is_err()) {
-            return Err(format!("'{word}' is no level of the log; {hint}"));
+            return Err(InvalidLevels::NoLevel(word.to_string()));
         }
-        text.parse().map(Levels).map_err(|e| format!("'{text}' names no levels of the log ({e}); {hint}"))
+        let invalid = |source| InvalidLevels::Unreadable { text: text.to_string(), source };
+        text.parse().map(Levels).map_err(invalid)
     }
 }
 
 /// Sets the program's log up. What is queued is written when the guard is dropped.
-pub fn start(settings: Settings) -> Result<WorkerGuard, String> {
+///
+/// # Errors
+/// Where the log is set up already.
+pub fn start(settings: Settings) -> Result<WorkerGuard, TryInitError> {
     let queue = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(WAITING_LINES);
     let (writer, guard) = queue.finish(io::stderr());
     let lines =
@@ -145,7 +172,7 @@
     };
     let levels = settings.levels.map_or_else(|| Targets::new().with_default(Level::INFO), |l| l.0);
     let subscriber = tracing_subscriber::registry().with(lines).with(Limit::default()).with(levels);
-    subscriber.try_init().map_err(|e| e.to_string())?;
+    subscriber.try_init()?;
     Ok(guard)
 }
 
@@ -178,59 +205,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_site_that_repeats_itself_is_limited_and_another_is_not() {
-        let site = || tracing::debug_span!("one").metadata().map(|m| m.callsite());
-        let other = || tracing::debug_span!("two").metadata().map(|m| m.callsite());
-        tracing::subscriber::with_default(tracing_subscriber::registry(), || {
-            let (one, two) = (site().unwrap(), other().unwrap());
-            let (limit, now) = (Limit::default(), Instant::now());
-            let passed = (0..200).filter(|_| limit.passes(one.clone(), now)).count();
-            assert_eq!(passed, LINES_A_SITE as usize);
-            assert!(limit.passes(two, now));
-            assert!(limit.passes(one, now + PERIOD));
-        });
-    }
-
-    /// A flood of one line is cut short, and the next line of another place is written all the same.
-    #[test]
-    fn what_is_said_after_a_flood_is_written() {
-        #[derive(Clone, Default)]
-        struct Written(std::sync::Arc<Mutex<Vec<u8>>>);
-        impl io::Write for Written {
-            fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-                self.0.lock().unwrap().extend_from_slice(bytes);
-                Ok(bytes.len())
-            }
-
-            fn flush(&mut self) -> io::Result<()> {
-                Ok(())
-            }
-        }
-        let written = Written::default();
-        let writer = written.clone();
-        let lines = tracing_subscriber::fmt::layer().with_ansi(false).with_writer(move || writer.clone());
-        let stack = tracing_subscriber::registry().with(lines).with(Limit::default());
-        tracing::subscriber::with_default(stack, || {
-            for n in 0..200 {
-                tracing::info!(n, "flood");
-            }
-            tracing::info!("after it");
-        });
-        let text = String::from_utf8(written.0.lock().unwrap().clone()).unwrap();
-        assert_eq!(text.matches("flood").count(), LINES_A_SITE as usize);
-        assert!(text.contains("after it"));
-    }
-
-    #[test]
-    fn a_level_that_is_none_is_refused_with_what_to_write() {
-        assert!("info,call=debug".parse::<Levels>().is_ok());
-        for bad in ["loud", "info,call=loud", "inof"] {
-            let said = bad.parse::<Levels>().unwrap_err();
-            assert!(said.contains("TARGET=LEVEL"), "{said}");
-        }
-    }
-}
+mod tests;
--- a/src/main.rs
+++ b/src/main.rs
@@ -16,7 +16,10 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::watch;
 
-/// Gives a front other limits.
+/// Any error that ends the program: printed as one line.
+type Result<T> = std::result::Result<T, Box<dyn std::error::Error>>;
+
+/// Gives a frontend other limits.
 type Plans = watch::Sender<Option<Rc<Plan>>>;
 
 fn main() -> ExitCode {
@@ -65,11 +68,11 @@
 }
 
 /// Reads the operators' file, if there is one, against what each front's installation permits, in the fronts' order.
-fn read_ops(path: Option<&Path>, ceilings: &[Ceilings], node: Option<&str>) -> Result<Vec<Ops>, String> {
+fn read_ops(path: Option<&Path>, ceilings: &[Ceilings], node: Option<&str>) -> Result<Vec<Ops>> {
     let Some(path) = path else { return Ok(Vec::new()) };
     let read = |ceilings: &Ceilings| {
         sections::read(path, ceilings, node)
-            .map_err(|report| format!("{} is refused\n{}", path.display(), report.render()))
+            .map_err(|report| format!("{} is refused\n{}", path.display(), report.render()).into())
     };
     ceilings.iter().map(read).collect()
 }
@@ -80,7 +83,7 @@
     node: Option<&str>,
     log: log::Settings,
     door: Option<Door>,
-) -> Result<(), String> {
+) -> Result<()> {
     let configs = read(fronts)?;
     let door = door_of(door, &configs)?;
     let ceilings = commands::ceilings(&configs);
@@ -92,16 +95,16 @@
 }
 
 /// Where operators connect: what the command line or LB_OPS says goes before the configuration.
-fn door_of(given: Option<Door>, (config, sip): &Configs) -> Result<Option<SocketAddr>, String> {
+fn door_of(given: Option<Door>, (config, sip): &Configs) -> Result<Option<SocketAddr>> {
     match given.filter(|Door(text)| !text.is_empty()) {
         Some(door) => address_of(&door).map(Some),
         None => Ok(config.as_ref().and_then(|c| c.ops).or(sip.as_ref().and_then(|c| c.ops))),
     }
 }
 
-fn address_of(Door(text): &Door) -> Result<SocketAddr, String> {
+fn address_of(Door(text): &Door) -> Result<SocketAddr> {
     text.parse()
-        .map_err(|_| format!("--door or LB_OPS: '{text}' is no address; write HOST:PORT with numbers"))
+        .map_err(|_| format!("--door or LB_OPS: '{text}' is no address; write HOST:PORT with numbers").into())
 }
 
 /// The operators' file and what it is checked against.
@@ -124,12 +127,11 @@
     operators: &Operators,
     ops: Vec<Ops>,
     door: Option<SocketAddr>,
-) -> Result<(), String> {
+) -> Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("no runtime: {e}"))?;
     tokio::task::LocalSet::new().block_on(&runtime, async {
         // Signals are heard before anything else is done: one that nobody hears ends the program.
-        let signal = |kind| signal(kind).map_err(|e| e.to_string());
         let (mut term, mut int) = (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
         let hup = signal(SignalKind::hangup())?;
         let (stop, stopped) = watch::channel(false);
@@ -151,7 +153,7 @@
         let limits: Vec<&Plans> = config.iter().map(|_| &plan).chain(sip.iter().map(|_| &sip_plan)).collect();
         let admin = AdminService::new(usize::from(config.is_some()) + usize::from(sip.is_some()));
         let listener = match door {
-            Some(address) => Some(admin_endpoint::listen(address).await.map_err(|e| e.to_string())?),
+            Some(address) => Some(admin_endpoint::listen(address).await?),
             None => None,
         };
         let door = async {
@@ -169,26 +171,22 @@
             }
             (Part::Nameless, _) => {
                 return Err(
-                    "the operators' file serves several members of a fleet; start with --node ID".to_string()
+                    "the operators' file serves several members of a fleet; start with --node ID".into()
                 );
             }
             (Part::None, _) => None,
         };
         let platform = async {
-            let Some(config) = config else { return Ok(()) };
-            platform::serve(config, dns.subscribe(), plan.subscribe(), admin.clone(), told(stopped.clone()))
-                .await
+            let Some(config) = config else { return Result::Ok(()) };
+            let stop = told(stopped.clone());
+            let served = platform::serve(config, dns.subscribe(), plan.subscribe(), admin.clone(), stop);
+            Ok(served.await?)
         };
         let sip = async {
-            let Some(config) = sip else { return Ok(()) };
-            sip::serve(
-                config,
-                sip_dns.subscribe(),
-                sip_plan.subscribe(),
-                admin.clone(),
-                told(stopped.clone()),
-            )
-            .await
+            let Some(config) = sip else { return Result::Ok(()) };
+            let stop = told(stopped.clone());
+            let served = sip::serve(config, sip_dns.subscribe(), sip_plan.subscribe(), admin.clone(), stop);
+            Ok(served.await?)
         };
         let done = tokio::select! {
             done = async { tokio::try_join!(platform, sip) } => done.map(|_| ()),
@@ -203,6 +201,13 @@
     })
 }
 
+/// Reads all files.
+fn read_all(fronts: &Fronts, operators: &Operators<'_>) -> Result<(Configs, Vec<Ops>)> {
+    let configs = read(fronts)?;
+    let ops = read_ops(operators.file, &operators.ceilings, operators.node)?;
+    Ok((configs, ops))
+}
+
 /// Reads the files again at each SIGHUP, for ever. The resolvers' addresses and the operators' limits count from then
 /// on; the rest holds until the next start. It is all or nothing: a file that cannot be read, or has a finding that
 /// refuses it, changes nothing.
@@ -214,12 +219,10 @@
     limits: &[&Plans],
 ) {
     while hup.recv().await.is_some() {
-        let read = read(fronts)
-            .and_then(|c| Ok((c, read_ops(operators.file, &operators.ceilings, operators.node)?)));
-        let ((config, sip), ops) = match read {
+        let ((config, sip), ops) = match read_all(fronts, operators) {
             Ok(read) => read,
             Err(e) => {
-                tracing::error!(error = e, "reload: all stays as it was");
+                tracing::error!(error = %e, "reload: all stays as it was");
                 continue;
             }
         };
--- a/src/operate/http.rs
+++ b/src/operate/http.rs
@@ -7,7 +7,7 @@
 /// The longest body, in bytes. No call needs one; what comes is read and left aside.
 pub const BODY_BYTES: usize = 4 * 1024;
 /// More header lines than this are too many.
-const HEADERS_MOST: usize = 32;
+const MAX_HEADERS: usize = 32;
 
 /// What stands in a connection's buffer.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -22,7 +22,7 @@
 
 /// Reads a call; its body, if it has one, must have come whole.
 pub fn read(buffer: &[u8]) -> Read {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     let head = match request.parse(buffer) {
         Ok(httparse::Status::Complete(size)) if size <= HEAD_BYTES => size,
--- a/src/ops/decode.rs
+++ b/src/ops/decode.rs
@@ -10,9 +10,9 @@
 use super::finding::{Finding, Path, Step};
 
 /// The largest file.
-pub const BYTES_MOST: usize = 32 * 1024 * 1024;
+pub const MAX_BYTES: usize = 32 * 1024 * 1024;
 /// Most faults of one value that are looked for.
-const FAULTS_MOST: usize = 32;
+const MAX_FAULTS: usize = 32;
 
 /// JSON with comments and trailing commas; what else JSON5 has, but no missing commas.
 const FORM: ParseOptions = ParseOptions {
@@ -126,7 +126,7 @@
 /// fault is found. `None` if nothing is left that could be decoded.
 pub fn decode<T: DeserializeOwned>(mut value: Value, at: &Path, findings: &mut Vec<Finding>) -> Option<T> {
     let mut taken: Vec<Vec<Step>> = Vec::new();
-    for _ in 0..FAULTS_MOST {
+    for _ in 0..MAX_FAULTS {
         let error = match serde_path_to_error::deserialize::<_, T>(&value) {
             Ok(decoded) => return Some(decoded),
             Err(error) => error,
--- a/src/ops/finding.rs
+++ b/src/ops/finding.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 /// Findings that are told one by one; further ones are only counted.
-pub const TOLD_MOST: usize = 100;
+pub const MAX_TOLD: usize = 100;
 
 /// A step of a path into the file.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -155,7 +155,7 @@
 pub struct Report {
     /// The file.
     pub file: String,
-    /// What was found, in the order of the places; at most [`TOLD_MOST`].
+    /// What was found, in the order of the places; at most [`MAX_TOLD`].
     pub findings: Vec<Located>,
     /// How many more there are.
     pub more: usize,
@@ -176,8 +176,8 @@
         let refused = findings.iter().any(|f| f.weight == Weight::Error);
         // Errors first where not all can be told.
         findings.sort_by_key(|f| f.weight != Weight::Error);
-        let more = findings.len().saturating_sub(TOLD_MOST);
-        findings.truncate(TOLD_MOST);
+        let more = findings.len().saturating_sub(MAX_TOLD);
+        findings.truncate(MAX_TOLD);
         let lines: Vec<usize> =
             std::iter::once(0).chain(text.match_indices('\n').map(|(at, _)| at + 1)).collect();
         let place = |(path, what): (Path, String)| {
--- a/src/ops/mod.rs
+++ b/src/ops/mod.rs
@@ -11,7 +11,7 @@
 
 use serde_json::Value;
 
-pub use decode::{BYTES_MOST, decode};
+pub use decode::{MAX_BYTES, decode};
 pub use finding::{Finding, Path, Report, Weight};
 
 /// One section of the file, as its subsystem reads and checks it.
@@ -38,8 +38,8 @@
     let size = std::fs::metadata(path)
         .map_err(|e| fail("file", format!("cannot be read: {e}"), "give a readable file"))?
         .len();
-    if size > BYTES_MOST as u64 {
-        let text = format!("the file has {size} bytes, and {BYTES_MOST} are the most");
+    if size > MAX_BYTES as u64 {
+        let text = format!("the file has {size} bytes, and {MAX_BYTES} are the most");
         return Err(fail("size", text, "give routes with a common prefix one route"));
     }
     let bytes = std::fs::read(path)
--- a/src/ops/units.rs
+++ b/src/ops/units.rs
@@ -10,7 +10,7 @@
 use crate::Micros;
 
 /// The longest span that a setting may have: an hour. Longer ones are slips, and sums of them could overflow.
-pub const SPAN_MOST: Micros = 3_600_000_000;
+pub const MAX_SPAN: Micros = 3_600_000_000;
 
 /// A span of time, as in `"800ms"` or `"1m 30s"`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -29,38 +29,50 @@
     Share(Share),
 }
 
+/// A text that names no span, share or time-out. The message says what is expected.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum UnitError {
+    /// No span.
+    #[error("'{0}' is no span of time, expected a number with a unit, as in \"800ms\", \"9s\" or \"1m 30s\"")]
+    NotASpan(String),
+    /// A span over the maximum.
+    #[error("'{0}' is too long, expected \"1h\" at most")]
+    TooLong(String),
+    /// No share.
+    #[error("'{0}' is no share, expected a number from 0 to 1000 with %, as in \"20%\"")]
+    NotAShare(String),
+}
+
 impl FromStr for Span {
-    type Err = String;
+    type Err = UnitError;
 
-    fn from_str(text: &str) -> Result<Span, String> {
+    fn from_str(text: &str) -> Result<Span, UnitError> {
         let span = humantime::parse_duration(text.trim());
-        let span = span.map_err(|_| format!("'{text}' is no span of time, expected a number with a unit, as in \"800ms\", \"9s\" or \"1m 30s\""))?;
+        let span = span.map_err(|_| UnitError::NotASpan(text.to_string()))?;
         let micros = Micros::try_from(span.as_micros()).unwrap_or(Micros::MAX);
-        if micros > SPAN_MOST {
-            return Err(format!("'{text}' is too long, expected \"1h\" at most"));
+        if micros > MAX_SPAN {
+            return Err(UnitError::TooLong(text.to_string()));
         }
         Ok(Span(micros))
     }
 }
 
 impl FromStr for Share {
-    type Err = String;
+    type Err = UnitError;
 
-    fn from_str(text: &str) -> Result<Share, String> {
+    fn from_str(text: &str) -> Result<Share, UnitError> {
         let number = text.trim().strip_suffix('%').and_then(|n| n.trim().parse::<f64>().ok());
         match number.filter(|n| n.is_finite() && (0.0..=1000.0).contains(n)) {
             Some(number) => Ok(Share(number / 100.0)),
-            None => {
-                Err(format!("'{text}' is no share, expected a number from 0 to 1000 with %, as in \"20%\""))
-            }
+            None => Err(UnitError::NotAShare(text.to_string())),
         }
     }
 }
 
 impl FromStr for TimeOut {
-    type Err = String;
+    type Err = UnitError;
 
-    fn from_str(text: &str) -> Result<TimeOut, String> {
+    fn from_str(text: &str) -> Result<TimeOut, UnitError> {
         if text.trim().ends_with('%') {
             text.parse().map(TimeOut::Share)
         } else {
@@ -103,7 +115,7 @@
 /// Reads a text by its `FromStr`; anything else is told what to write.
 struct Text<T>(std::marker::PhantomData<T>, &'static str);
 
-impl<T: FromStr<Err = String>> serde::de::Visitor<'_> for Text<T> {
+impl<T: FromStr<Err = UnitError>> serde::de::Visitor<'_> for Text<T> {
     type Value = T;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -150,32 +162,4 @@
 );
 
 #[cfg(test)]
-mod tests {
-    use rstest::rstest;
-
-    use super::*;
-
-    #[rstest]
-    #[case("800ms", Some(800_000))]
-    #[case("9s", Some(9_000_000))]
-    #[case("1m 30s", Some(90_000_000))]
-    #[case("1h", Some(SPAN_MOST))]
-    #[case("1h 1us", None)]
-    #[case("99999999999999999999d", None)]
-    #[case("9", None)]
-    #[case("", None)]
-    #[case("-1s", None)]
-    fn spans_have_units_and_an_end(#[case] text: &str, #[case] span: Option<Micros>) {
-        assert_eq!(text.parse().ok(), span.map(Span));
-    }
-
-    #[rstest]
-    #[case("20%", Some(0.2))]
-    #[case(" 0.5 %", Some(0.005))]
-    #[case("20", None)]
-    #[case("NaN%", None)]
-    #[case("-1%", None)]
-    fn shares_are_in_percent(#[case] text: &str, #[case] share: Option<f64>) {
-        assert_eq!(text.parse().ok(), share.map(Share));
-    }
-}
+mod tests;
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -51,6 +51,14 @@
 
 type Shared = Rc<RefCell<PlatformFrontend>>;
 
+/// The clients' address cannot be listened on.
+#[derive(Debug, thiserror::Error)]
+#[error("cannot listen on {address}: {source}")]
+pub struct ListenError {
+    address: SocketAddr,
+    source: std::io::Error,
+}
+
 /// Serves until it is told to stop and has nothing left to do. `resolver` tells whom to ask for the list.
 pub async fn serve(
     config: Config,
@@ -58,15 +66,16 @@
     plan: driver::LimitPlans,
     admin: Rc<AdminService>,
     stop: impl Future<Output = ()>,
-) -> Result<(), String> {
+) -> Result<(), ListenError> {
     let frontend = PlatformFrontend::start(&config, plan.borrow().clone());
     for (scope, list) in config.known.clone() {
         frontend.borrow_mut().handle_list(clock::now(), scope, list);
     }
     let place = handover::meet(&frontend, config.listen).await;
     let listener = link::listen(config.listen);
-    let listener = listener.map_err(|e| format!("cannot listen on {}: {e}", config.listen))?;
-    let address = listener.local_addr().map_err(|e| e.to_string())?;
+    let failed = |source| ListenError { address: config.listen, source };
+    let listener = listener.map_err(failed)?;
+    let address = listener.local_addr().map_err(failed)?;
     tracing::info!(name = config.name, listen = %address, "serves");
     let tasks = async {
         tokio::join!(
@@ -94,7 +103,7 @@
 impl PlatformFrontend {
     fn start(config: &Config, plan: Option<Rc<Plan>>) -> Shared {
         let limits = Live::of(plan, &config.settings, &config.classes, config.seed);
-        let longest_wait = config.patience.iter().copied().max().unwrap_or(0);
+        let longest_wait = config.max_waits.iter().copied().max().unwrap_or(0);
         let gateway = Gateway::with_limits(config.settings.clone(), limits, config.seed);
         let driver = Driver::new(gateway, config.classes.clone(), longest_wait);
         let trace = driver.trace.clone();
--- a/src/sip/mod.rs
+++ b/src/sip/mod.rs
@@ -110,6 +110,14 @@
     me: Weak<RefCell<SipFrontend>>,
 }
 
+/// An address for SIP cannot be listened on.
+#[derive(Debug, thiserror::Error)]
+#[error("cannot listen on {transport}: {source}")]
+pub struct ListenError {
+    transport: &'static str,
+    source: std::io::Error,
+}
+
 /// Serves until it is told to stop and has nothing left to do. `resolver` tells whom to ask for the list.
 pub async fn serve(
     config: SipConfig,
@@ -117,8 +125,8 @@
     plan: driver::LimitPlans,
     admin: Rc<AdminService>,
     stop: impl Future<Output = ()>,
-) -> Result<(), String> {
-    let named = |what: &str, e: std::io::Error| format!("cannot listen on {what}: {e}");
+) -> Result<(), ListenError> {
+    let named = |transport, source| ListenError { transport, source };
     let udp = UdpSocket::bind(config.udp).await.map_err(|e| named("udp", e))?;
     let tcp = TcpListener::bind(config.tcp).await.map_err(|e| named("tcp", e))?;
     let (udp_address, tcp_address) = (udp.local_addr(), tcp.local_addr());
--- a/src/sip/servers.rs
+++ b/src/sip/servers.rs
@@ -18,7 +18,7 @@
 /// A probe that takes longer has failed.
 const PROBE_TIME: Micros = 250_000;
 /// A request moves to another connection this often at most: a peer that closes each one does not want it.
-const MOVES_MOST: u32 = 3;
+const MAX_MOVES: u32 = 3;
 /// Repeats end this long before the drain window does: what is sent must also have arrived, and a busy machine
 /// may hold either side up.
 const WINDOW_MARGIN: Micros = 100_000;
@@ -333,7 +333,7 @@
     /// take the call to stand for ever.
     fn move_plain(&mut self, lost: impl Fn(&ClientTransaction) -> bool) {
         for transaction in self.client_txns.values_mut() {
-            let moves = transaction.purpose == Purpose::Plain && transaction.moves < MOVES_MOST;
+            let moves = transaction.purpose == Purpose::Plain && transaction.moves < MAX_MOVES;
             if let Peer::Tcp(address, _) = transaction.peer
                 && moves
                 && lost(transaction)
--- a/src/sip/transport.rs
+++ b/src/sip/transport.rs
@@ -22,7 +22,7 @@
 /// A message that has begun comes whole within this; after as long a peer gives a transaction up (64 T1).
 const WHOLE: Duration = Duration::from_secs(32);
 /// Most TCP connections at a time.
-const CONNECTIONS_MOST: usize = 256;
+const MAX_CONNECTIONS: usize = 256;
 
 /// A number of our own for a TCP connection; never used twice.
 pub type ConnId = u64;
@@ -116,7 +116,7 @@
     /// longest makes way: peers that say nothing must not keep others out, and what is still to be said to its peer
     /// goes to the address in its Via (§18.2.2).
     fn make_room(&mut self) -> bool {
-        if self.conns.values().filter(|c| c.outbox.is_open()).count() < CONNECTIONS_MOST {
+        if self.conns.values().filter(|c| c.outbox.is_open()).count() < MAX_CONNECTIONS {
             return true;
         }
         let idle = self.conns.values().filter(|c| c.taken && c.outbox.is_open());
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -9,8 +9,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use cobaltspool_fleet::member::State;
-use cobaltspool_fleet::wire::{self, Frame, Key, Kind};
+use cobaltspool_fleet::codec::{self, Frame, FrameKind, Key};
+use cobaltspool_fleet::member::MemberState;
 use cobaltspool_fleet_testkit::TestFleet;
 use cobaltspool_fleet_testkit::history::Seen;
 use cobaltspool_fleet_testkit::link::Fault;
@@ -356,10 +356,10 @@
     let calls = Calls::at(&gates(&site.fleet, 0..2));
     let at = site.fleet.members[0].address();
     let noise = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let dead = wire::example("n1", 99, 0, State::Down);
-    let record = wire::example("n2", 99, 9, State::Alive);
+    let dead = codec::example("n1", 99, 0, MemberState::Down);
+    let record = codec::example("n2", 99, 9, MemberState::Alive);
     let frame = Frame {
-        kind: Kind::Tell,
+        kind: FrameKind::Gossip,
         from: record,
         to: 0,
         counter: 1,
@@ -369,8 +369,8 @@
         digest: 0,
         records: vec![dead],
     };
-    let forged = wire::encode(&frame, &Key::of(b"the key of another fleet"));
-    let good = wire::encode(&frame, &Key::of(&site.fleet.key()));
+    let forged = codec::encode(&frame, &Key::from_bytes(b"the key of another fleet"));
+    let good = codec::encode(&frame, &Key::from_bytes(&site.fleet.key()));
     let held: Vec<TcpStream> = (0..20).map(|_| TcpStream::connect(at).unwrap()).collect();
     let mut slow = TcpStream::connect(at).unwrap();
     for round in 0..300 {
@@ -406,9 +406,9 @@
         if heard { Ok(()) } else { Err("not heard".to_string()) }
     });
     // Those who hold streams and say nothing lose their places in time.
-    let table = Frame { kind: Kind::Table, counter: 2, ..frame };
+    let table = Frame { kind: FrameKind::FullState, counter: 2, ..frame };
     eventually("an exchange is answered", || {
-        (exchange(at, &wire::encode(&table, &Key::of(&site.fleet.key()))) > 4).then_some(())
+        (exchange(at, &codec::encode(&table, &Key::from_bytes(&site.fleet.key()))) > 4).then_some(())
     });
     drop(held);
     site.fleet.go_on(PERIOD * 8);
@@ -430,13 +430,13 @@
 fn three_hundred_members_cost_little_memory() {
     let mut site = site(1, false);
     let before = site.fleet.members[0].memory();
-    let (at, key) = (site.fleet.members[0].address(), Key::of(&site.fleet.key()));
+    let (at, key) = (site.fleet.members[0].address(), Key::from_bytes(&site.fleet.key()));
     for round in 0..5 {
         let records =
-            (0..300).map(|n| wire::example(&format!("member-{n}"), 1, round, State::Alive)).collect();
+            (0..300).map(|n| codec::example(&format!("member-{n}"), 1, round, MemberState::Alive)).collect();
         let frame = Frame {
-            kind: Kind::Table,
-            from: wire::example("member-0", 1, round, State::Alive),
+            kind: FrameKind::FullState,
+            from: codec::example("member-0", 1, round, MemberState::Alive),
             to: 0,
             counter: 1,
             probe: 0,
@@ -445,7 +445,7 @@
             digest: 0,
             records,
         };
-        assert!(exchange(at, &wire::encode(&frame, &key)) > 4, "it answers with its own table");
+        assert!(exchange(at, &codec::encode(&frame, &key)) > 4, "it answers with its own table");
     }
     site.fleet.until("all are known", Duration::from_secs(20), |_, seen| {
         let members = seen[0].as_ref().map(|s| s.members.len());
--- a/tests/limits_properties.rs
+++ b/tests/limits_properties.rs
@@ -152,7 +152,7 @@
 struct Known {
     due: Micros,
     limits: Limits,
-    attempts_most: u32,
+    max_attempts: u32,
     tries: u32,
     out: Option<AttemptId>,
     not_before: Micros,
@@ -184,7 +184,7 @@
                         self.now
                     );
                     call.tries += 1;
-                    prop_assert!(call.tries <= call.attempts_most, "one try too many: {call:?}");
+                    prop_assert!(call.tries <= call.max_attempts, "one try too many: {call:?}");
                     prop_assert!(self.now + left <= call.due, "longer than its caller waits");
                     if let Some(told) = self.drained.get(&server) {
                         prop_assert!(self.now <= told + 250 * MS, "to a server that drains");
@@ -258,11 +258,11 @@
         let left = (left * MS).min(PATIENCE[class]);
         let route = self.plan.route(CLASSES[class], 0, number);
         let limits = self.plan.compile(route, Some(CLASSES[class]));
-        let attempts_most = limits.attempts.value.min(4);
+        let max_attempts = limits.attempts.value.min(4);
         let known = Known {
             due: self.now + left,
             limits,
-            attempts_most,
+            max_attempts,
             tries: 0,
             out: None,
             not_before: 0,
@@ -392,7 +392,7 @@
                 let fastest = |tries| {
                     let ways = [Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled, Outcome::Rejected];
                     ways.into_iter().map(|o| held.limits.pause(o)).min().unwrap_or(0)
-                        + (held.limits.back_off_most(tries) as f64 * (1.0 - held.limits.jitter())) as Micros
+                        + (held.limits.max_back_off(tries) as f64 * (1.0 - held.limits.jitter())) as Micros
                 };
                 (1..attempts).map(fastest).sum::<Micros>() >= PATIENCE[class]
             }
