--- a/benches/limits.rs
+++ b/benches/limits.rs
@@ -87,8 +87,7 @@
         group.bench_with_input(BenchmarkId::from_parameter(routes), &text, |b, text| {
             b.iter(|| {
                 sections::read_text("bench", text, &ceilings(), None)
-                    .map(|o| o.plan.section.routes.len())
-                    .unwrap_or(0)
+                    .map_or(0, |o| o.plan.section.routes.len())
             });
         });
     }
--- a/crates/fleet-sim/src/main.rs
+++ b/crates/fleet-sim/src/main.rs
@@ -59,7 +59,7 @@
 
 /// Spreads the seeds over the machine's cores; each schedule is one thread's alone. The outcomes in the seeds' order.
 fn spread<T: Send>(from: u64, count: u64, play: impl Fn(u64) -> T + Sync) -> Vec<(u64, T)> {
-    let cores = std::thread::available_parallelism().map_or(1, |n| n.get()) as u64;
+    let cores = std::thread::available_parallelism().map_or(1, std::num::NonZero::get) as u64;
     let play = &play;
     let mut played: Vec<(u64, T)> = std::thread::scope(|scope| {
         let workers: Vec<_> = (0..cores)
--- a/crates/fleet-sim/src/quorum.rs
+++ b/crates/fleet-sim/src/quorum.rs
@@ -297,7 +297,7 @@
         match what {
             What::Tick(runs) if node.stopped || runs != node.runs => {}
             What::Tick(runs) => {
-                self.with(n, |voter, now, out| voter.tick(now, out));
+                self.with(n, cobaltspool_fleet::quorum::Voter::tick);
                 let due = self.nodes[n].voter.as_ref().map_or(self.now, |v| v.next_deadline(self.now));
                 self.push(due.max(self.now + 10_000), n, What::Tick(runs));
             }
--- a/crates/fleet/src/codec.rs
+++ b/crates/fleet/src/codec.rs
@@ -294,37 +294,28 @@
         }
     }
 
-    /// `None`: a field does not read, or the address is missing.
+    /// `None`: a field is unreadable, or the address is missing.
     fn into_record(self) -> Option<MemberRecord> {
         if self.fields.len() > MAX_FIELDS {
             return None;
         }
-        let number = |bytes: &[u8]| {
-            let mut whole = [0; 8];
-            whole.get_mut(..bytes.len())?.copy_from_slice(bytes);
-            Some(u64::from_le_bytes(whole))
-        };
-        let text = |bytes: Vec<u8>| -> Option<Arc<str>> {
-            let text = String::from_utf8(bytes).ok().filter(|t| t.len() <= NAME_BYTES)?;
-            (!text.chars().any(char::is_control)).then(|| text.into())
-        };
         let mut info = MemberInfo::at(SocketAddr::from(([0, 0, 0, 0], 0)));
         let (mut address, mut kept) = (None, 0);
         for (tag, bytes) in self.fields {
             match tag {
                 ADDRESS => address = Some(read_address(&bytes)?),
-                ZONE => info.zone = text(bytes)?,
-                PROGRAM => info.version = text(bytes)?,
-                AGE_MS => info.age = number(&bytes)?.saturating_mul(1000),
+                ZONE => info.zone = read_text(bytes)?,
+                PROGRAM => info.version = read_text(bytes)?,
+                AGE_MS => info.age = read_number(&bytes)?.saturating_mul(1000),
                 FLAGS => {
                     let flags = *bytes.first()?;
                     info.ready = flags & READY != 0;
                     info.draining = flags & DRAINING != 0;
                     info.leaving = flags & LEAVING != 0;
                 }
-                CALLS => info.calls = u32::try_from(number(&bytes)?).ok()?,
-                LIST_AGE_MS => info.list_age = Some(number(&bytes)?),
-                OPS => info.ops = number(&bytes)?,
+                CALLS => info.calls = u32::try_from(read_number(&bytes)?).ok()?,
+                LIST_AGE_MS => info.list_age = Some(read_number(&bytes)?),
+                OPS => info.ops = read_number(&bytes)?,
                 _ if kept + bytes.len() <= UNKNOWN_BYTES => {
                     kept += bytes.len();
                     info.unknown.push((tag, bytes));
@@ -344,6 +335,19 @@
     }
 }
 
+/// A number of up to 8 bytes, the lowest first.
+fn read_number(bytes: &[u8]) -> Option<u64> {
+    let mut whole = [0; 8];
+    whole.get_mut(..bytes.len())?.copy_from_slice(bytes);
+    Some(u64::from_le_bytes(whole))
+}
+
+/// A short text without control characters.
+fn read_text(bytes: Vec<u8>) -> Option<Arc<str>> {
+    let text = String::from_utf8(bytes).ok().filter(|text| text.len() <= NAME_BYTES)?;
+    (!text.chars().any(char::is_control)).then(|| text.into())
+}
+
 fn read_address(bytes: &[u8]) -> Option<SocketAddr> {
     let (ip, port) = bytes.split_last_chunk::<2>()?;
     let ip = match ip.len() {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,12 +1,13 @@
-//! How gatekeepers act together. Each layer is a pure half: state in, events and time in, effects out. No sockets, no clock, no
-//! threads; the program's shell moves the bytes (`src/fleet/` there).
+//! How gatekeepers act together. Each layer is a state machine without I/O: state in, events and time in, actions out. No sockets, no
+//! clock, no threads; the program's adapters move the bytes (`src/fleet/` there).
 //!
-//! - [`member`]: who a member is, what it tells of itself, and which of two words about it is the newer;
-//! - [`wire`]: frames, as bytes and back, with their bounds and their seal;
-//! - [`view`]: who is there, by whose word, how sure; settles again after joins, crashes and cuts;
-//! - [`quorum`]: a small replicated log among 3, 5 or 7 voters; [`disk`]: what a voter keeps, as bytes;
-//! - [`owner`]: work items, one owner each, leases and fencing tokens, on the log; [`parcel`]: what goes over streams for both;
-//! - [`live_instances`]: how many gatekeepers a cold server's budget is divided by, so that a cut never lets two halves press it.
+//! - [`member`]: a member's id, incarnations and information, and which of two records about it is the newer;
+//! - [`codec`]: frames to bytes and back, with their bounds and their seal;
+//! - [`membership`]: who is there, who says so, how sure that is; settles again after joins, crashes and partitions;
+//! - [`quorum`]: a small replicated log among 3, 5 or 7 voters; [`wal`]: what a voter keeps, as bytes;
+//! - [`lease`]: resources with one owner each, by leases and fencing tokens, on the log; [`envelope`]: the messages of both;
+//! - [`live_instances`]: by how many gatekeepers a slow-start budget is divided, so that a partition never lets two halves
+//!   exceed it.
 
 pub mod codec;
 pub mod envelope;
--- a/crates/fleet/src/membership/mod.rs
+++ b/crates/fleet/src/membership/mod.rs
@@ -269,41 +269,52 @@
         }
         let Frame { kind, from, counter, probe, target, you, digest, records, .. } = frame;
         let sender = from.clone();
-        let known = self
-            .table
-            .state_version(&from.id)
-            .is_some_and(|held| held.incarnation == from.state_version.incarnation);
+        let incarnation = sender.state_version.incarnation;
+        let held = self.table.state_version(&from.id);
+        let is_known = held.is_some_and(|held| held.incarnation == incarnation);
         // It hears of an earlier start of its generation, so that its own may go above that.
-        let earlier = self.table.state_version(&from.id).filter(|held| {
-            held.incarnation != from.state_version.incarnation
-                && held.incarnation.generation == from.state_version.incarnation.generation
+        let earlier = held.filter(|held| {
+            held.incarnation != incarnation && held.incarnation.generation == incarnation.generation
         });
         if !stale {
             self.handle_sender(now, from, you, records, out);
             // The first frame of a start counts as seen too.
-            if !known {
-                self.table.is_new_frame(&sender.id, sender.state_version.incarnation, counter);
+            if !is_known {
+                self.table.is_new_frame(&sender.id, incarnation, counter);
             }
         }
-        if kind == FrameKind::Ping || earlier.is_some() {
-            let answer = if kind == FrameKind::Ping { FrameKind::Ack } else { FrameKind::Gossip };
-            let mut frame =
-                self.new_frame(now, answer, Some((&sender.id, sender.state_version.incarnation)), probe);
-            frame.you = earlier.or(frame.you);
-            out.push(Action::Datagram(to(&sender), Box::new(frame)));
-        }
+        self.answer_frame(now, kind, &sender, probe, earlier, out);
         match kind {
             FrameKind::Ack => {
                 self.handle_ack(probe);
                 self.compare_digest(now, &sender, digest, out);
+                self.forward_ack(now, &sender, probe, out);
             }
             FrameKind::PingRequest => self.handle_ping_request(now, &sender, probe, target, out),
             FrameKind::Nack => self.handle_nack(probe),
             FrameKind::Ping | FrameKind::Gossip | FrameKind::FullState | FrameKind::IdQuery => {}
         }
-        if kind == FrameKind::Ack {
-            self.forward_ack(now, &sender, probe, out);
-        }
+    }
+
+    /// Answers a ping, and a sender that must hear of an earlier start of its generation.
+    fn answer_frame(
+        &mut self,
+        now: Micros,
+        kind: FrameKind,
+        sender: &MemberRecord,
+        probe: u64,
+        earlier: Option<StateVersion>,
+        out: &mut Vec<Action>,
+    ) {
+        let answer = match kind {
+            FrameKind::Ping => FrameKind::Ack,
+            _ if earlier.is_some() => FrameKind::Gossip,
+            _ => return,
+        };
+        let receiver = Some((&sender.id, sender.state_version.incarnation));
+        let mut frame = self.new_frame(now, answer, receiver, probe);
+        frame.you = earlier.or(frame.you);
+        out.push(Action::Datagram(to(sender), Box::new(frame)));
     }
 
     /// Whether it takes part in the fleet: it has not left and is not in standby.
--- a/src/bin/cobaltspool-simulator-adapter/main.rs
+++ b/src/bin/cobaltspool-simulator-adapter/main.rs
@@ -158,7 +158,7 @@
         let event = match msg {
             Msg::PeersKnown { scope: Scope::Unavailable, .. } => Event::EndpointListUnavailable,
             Msg::PeersKnown { scope, r#ref, .. } => {
-                let list = self.lists.get(&r#ref).ok_or_else(|| format!("unknown server list {}", r#ref))?;
+                let list = self.lists.get(&r#ref).ok_or_else(|| format!("unknown server list {ref}"))?;
                 let scope = match scope {
                     Scope::Update => EndpointListScope::Changes,
                     Scope::Restored => EndpointListScope::Restored,
--- a/src/commands.rs
+++ b/src/commands.rs
@@ -231,7 +231,7 @@
                 format!("{} times {} each time up to {}, {} of it drawn", b.first, b.factor, b.most, b.jitter)
             })
         }),
-        row("come_back", &limits.come_back, |c| {
+        row("come_back", &limits.retry_after, |c| {
             c.map_or("as the limit that is met says".into(), |c| format!("{} to {}", c.least, c.most))
         }),
         row("second_copies", &limits.second_copies, |s| {
--- a/src/fleet/consensus_node.rs
+++ b/src/fleet/consensus_node.rs
@@ -18,7 +18,7 @@
 };
 use cobaltspool_fleet::member::MemberId;
 use cobaltspool_fleet::quorum::machine::Replica;
-use cobaltspool_fleet::quorum::{Action, Command, Config, Entry, Event, SafetyChecks, Voter};
+use cobaltspool_fleet::quorum::{Action, Command, Config, Entry, Event, LogRecord, SafetyChecks, Voter};
 use tokio::sync::mpsc;
 
 use super::status;
@@ -75,6 +75,18 @@
     recent_changes: VecDeque<status::Line>,
 }
 
+impl State {
+    /// Requests a write; where the disk does not take it, the voter takes part no more.
+    fn write(&mut self, number: u64, records: Vec<LogRecord>, actions: &mut Vec<Action>) {
+        let is_taken = self.wal_writer.as_ref().is_some_and(|wal| wal.write(number, records));
+        if !is_taken && let Some(voter) = &mut self.voter {
+            let fault = "writes pile up at the disk, or it has failed; start anew";
+            self.fault.get_or_insert(fault.to_string());
+            voter.handle_disk_failure(actions);
+        }
+    }
+}
+
 /// See the module.
 pub struct ConsensusNode {
     config: VoterConfig,
@@ -361,14 +373,7 @@
     ) -> Vec<Action> {
         let mut further = Vec::new();
         match action {
-            Action::Write { number, records } => {
-                let is_taken = state.wal_writer.as_ref().is_some_and(|wal| wal.write(number, records));
-                if !is_taken && let Some(voter) = &mut state.voter {
-                    let fault = "writes pile up at the disk, or it has failed; start anew";
-                    state.fault.get_or_insert(fault.to_string());
-                    voter.handle_disk_failure(&mut further);
-                }
-            }
+            Action::Write { number, records } => state.write(number, records, &mut further),
             Action::Send(message) => {
                 let to = message.to.clone();
                 outgoing.push(self.message(to, Payload::Consensus(Box::new(message))));
--- a/src/fleet/runtime.rs
+++ b/src/fleet/runtime.rs
@@ -143,29 +143,20 @@
     Random(rand_core::OsError),
 }
 
-/// Binds the address and tells the admin of the fleet. An address that another process has is no error: it may be the older one
-/// of an upgrade. `ops` is the digest of the operators' file.
-pub async fn join(set: Fleet, ops: u64, admin: &Rc<AdminService>) -> Result<Joined, JoinError> {
-    let bound = match try_bind(set.address).await {
-        Ok(bound) => Some(bound),
-        Err(e) if e.kind() == io::ErrorKind::AddrInUse => None,
-        Err(e) => {
-            return Err(JoinError::Bind { address: set.address, source: e });
-        }
-    };
-    let draw = || OsRng.try_next_u64().map_err(JoinError::Random);
-    let address = bound.as_ref().map_or(set.address, |b| b.address);
-    let nonce = draw()? | 1;
-    let voter_config = (!set.voters.is_empty()).then(|| VoterConfig {
+/// What this process is among the voters; `None`: there are no voters.
+fn voter_config(set: &Fleet, nonce: u64) -> Option<VoterConfig> {
+    (!set.voters.is_empty()).then(|| VoterConfig {
         process: ProcessId { member: set.id.clone(), nonce },
         voters: set.voters.clone(),
         folder: set.state.clone(),
         election_timeout: set.period * ELECTION_PERIODS,
         lease: set.lease,
         trust_disk: set.trust_disk,
-    });
-    let consensus = voter_config.map(|config| ConsensusNode::new(0, config));
-    let setup = MembershipConfig {
+    })
+}
+
+fn membership_config(set: &Fleet, address: SocketAddr, nonce: u64) -> MembershipConfig {
+    MembershipConfig {
         id: set.id.clone(),
         zone: set.zone.as_str().into(),
         version: env!("CARGO_PKG_VERSION").into(),
@@ -175,10 +166,27 @@
         period: set.period,
         memory: set.memory,
         nonce,
+    }
+}
+
+/// Binds the address and tells the admin of the fleet. An address that another process has is no error: it may be the older one
+/// of an upgrade. `ops` is the digest of the operators' file.
+pub async fn join(set: Fleet, ops: u64, admin: &Rc<AdminService>) -> Result<Joined, JoinError> {
+    let bound = match try_bind(set.address).await {
+        Ok(bound) => Some(bound),
+        Err(e) if e.kind() == io::ErrorKind::AddrInUse => None,
+        Err(e) => {
+            return Err(JoinError::Bind { address: set.address, source: e });
+        }
     };
+    let draw = || OsRng.try_next_u64().map_err(JoinError::Random);
+    let address = bound.as_ref().map_or(set.address, |b| b.address);
+    let nonce = draw()? | 1;
+    let consensus = voter_config(&set, nonce).map(|config| ConsensusNode::new(0, config));
+    let config = membership_config(&set, address, nonce);
     let settling = Membership::settling_bound(set.period, set.known.len());
     let member = Rc::new(Member {
-        membership: RefCell::new(Membership::new(0, setup, draw()?)),
+        membership: RefCell::new(Membership::new(0, config, draw()?)),
         started: Instant::now(),
         dropped: Cell::default(),
         udp: RefCell::default(),
@@ -283,13 +291,10 @@
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         let (mut since, mut count, mut row) = (Instant::now(), 0, 0);
         loop {
-            let (size, from) = match udp.recv_from(&mut buffer).await {
-                Ok(got) => got,
+            let Ok((size, from)) = udp.recv_from(&mut buffer).await else {
                 // Told of a datagram that nobody took: no reason to stop.
-                Err(_) => {
-                    tokio::task::yield_now().await;
-                    continue;
-                }
+                tokio::task::yield_now().await;
+                continue;
             };
             if since.elapsed() >= Duration::from_secs(1) {
                 (since, count) = (Instant::now(), 0);
--- a/src/gateway/requests.rs
+++ b/src/gateway/requests.rs
@@ -3,7 +3,7 @@
 use super::call_counters::CallEnd;
 use super::call_table::{CallEntry, CallState};
 use super::{AttemptId, Command, Gateway, InvariantViolation, SetupRequest};
-use crate::limits::Asked;
+use crate::limits::{Asked, Refusal};
 use crate::{CallId, Event, NewCall, Outcome};
 
 impl Gateway {
@@ -30,13 +30,7 @@
         let asked = Asked { class, pool: first_choice.0, number: &request.dialled_number, left: time_left };
         let held = match self.limits.take(self.now, asked) {
             Ok(held) => held,
-            Err(refusal) => {
-                // A limit of the operators' is met: the decision module need not be asked, and nothing has run.
-                let (level, cap) = (refusal.level, refusal.cap);
-                commands.push(Command::Log(format!("call {} rejected: {cap} of {level}", call.0)));
-                let retry_after = if self.settings.may_send_retry_after { refusal.wait } else { 0 };
-                return self.reject(call, retry_after, commands);
-            }
+            Err(refusal) => return self.reject_at_limit(call, &refusal, commands),
         };
         let max_attempts = held.limits.attempts.value;
         self.calls.set_limits(call, held);
@@ -52,6 +46,14 @@
         }));
     }
 
+    /// A limit of the operators' is met: the decision module need not be asked, and nothing has run.
+    fn reject_at_limit(&mut self, call: CallId, refusal: &Refusal, commands: &mut Vec<Command>) {
+        let (level, cap) = (&refusal.level, refusal.cap);
+        commands.push(Command::Log(format!("call {} rejected: {cap} of {level}", call.0)));
+        let retry_after = if self.settings.may_send_retry_after { refusal.wait } else { 0 };
+        self.reject(call, retry_after, commands);
+    }
+
     /// The caller waits no longer: it gets no final answer, and the attempt in flight is cancelled.
     pub(super) fn handle_cancellation(&mut self, call: CallId, commands: &mut Vec<Command>) {
         // It may have crossed our answer: then it is a release.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -40,8 +40,6 @@
 //! controller.handle(1_000, call, &mut out);
 //! assert!(out.iter().any(|a| matches!(a, Action::Attempt { call: CallId(1), server: ServerId(0), .. })));
 //! ```
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod call_trace;
 pub mod cli;
--- a/src/limits/check.rs
+++ b/src/limits/check.rs
@@ -311,11 +311,11 @@
         }
     }
     second_copies(limits, ceilings, class, try_for, &mut out);
-    if let (Some(c), true) = (limits.come_back.value, ceilings.come_back > 0)
-        && c.least.0 > ceilings.come_back
-        && let Some(at) = limits.come_back.from.path("come_back.least")
+    if let (Some(c), true) = (limits.retry_after.value, ceilings.max_retry_after > 0)
+        && c.least.0 > ceilings.max_retry_after
+        && let Some(at) = limits.retry_after.from.path("come_back.least")
     {
-        let text = format!("callers heed no advice over {}", span(ceilings.come_back));
+        let text = format!("callers heed no advice over {}", span(ceilings.max_retry_after));
         out.push(Finding::error("advice", at, text, "write less").warning());
     }
     out
@@ -463,7 +463,7 @@
             found.add(Finding::error("jitter", at.key("jitter"), text, "write \"100%\" or less"));
         }
     }
-    if let Some(c) = terms.come_back.filter(|c| c.least > c.most) {
+    if let Some(c) = terms.retry_after.filter(|c| c.least > c.most) {
         let at = at.key("come_back");
         let text = format!("the least advice, {}, is longer than the most", c.least);
         found.add(
--- a/src/limits/file.rs
+++ b/src/limits/file.rs
@@ -70,7 +70,8 @@
     /// Most set-ups taken a second.
     pub rate: Option<Rate>,
     /// When a caller that is turned away at a limit may come back.
-    pub come_back: Option<ComeBack>,
+    #[serde(rename = "come_back")]
+    pub retry_after: Option<RetryAfterBounds>,
     /// A second try beside the first, where class and installation allow it.
     pub second_copies: Option<SecondCopies>,
 }
@@ -148,7 +149,7 @@
 /// Bounds of the advice when to come back.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct ComeBack {
+pub struct RetryAfterBounds {
     /// Never sooner.
     pub least: Span,
     /// Never later.
--- a/src/limits/live.rs
+++ b/src/limits/live.rs
@@ -314,7 +314,7 @@
             Some(ready) => ready.clone(),
             None => self.make_ready(route, asked.class, now),
         };
-        let (least, most) = limits.come_back.value.map_or((1, MAX_WAIT), |c| (c.least.0, c.most.0));
+        let (least, most) = limits.retry_after.value.map_or((1, MAX_WAIT), |c| (c.least.0, c.most.0));
         let part = if self.shared { SHARED_PART } else { 1.0 };
         // All caps first: a call that one of them turns away takes nothing of the others.
         for level in levels.iter() {
--- a/src/limits/plan.rs
+++ b/src/limits/plan.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 use std::rc::Rc;
 
-use super::file::{BackOff, ComeBack, Match, Section, Terms};
+use super::file::{BackOff, Match, RetryAfterBounds, Section, Terms};
 use super::trie::Trie;
 use super::units::{Span, TimeOut};
 use crate::ops::Path;
@@ -40,7 +40,7 @@
     /// A call may have two tries out at once; `None`: not known.
     pub second_copies: Option<bool>,
     /// The longest advice that callers heed; 0: not known.
-    pub come_back: Micros,
+    pub max_retry_after: Micros,
     /// The classes; `None`: not known.
     pub classes: Option<Vec<ClassInfo>>,
     /// Numbers are 16 hex digits, and nothing else.
@@ -60,7 +60,7 @@
             attempts: set.max_attempts,
             release_wait: set.rules.release_wait,
             second_copies: Some(set.may_hedge),
-            come_back: if set.may_send_retry_after { set.max_retry_after } else { 0 },
+            max_retry_after: if set.may_send_retry_after { set.max_retry_after } else { 0 },
             classes: Some(set.classes.iter().zip(names).zip(patience).map(info).collect()),
             hex_numbers,
         }
@@ -145,7 +145,7 @@
     /// What is added to the pause.
     pub back_off: Sourced<Option<BackOff>>,
     /// Bounds of the advice when to come back.
-    pub come_back: Sourced<Option<ComeBack>>,
+    pub retry_after: Sourced<Option<RetryAfterBounds>>,
     /// A second try goes out after this.
     pub second_copies: Sourced<Option<Micros>>,
 }
@@ -282,7 +282,7 @@
             cancelled: pause(|t| t.pause.cancelled),
             full: pick(levels(), |t| t.pause.full.map(|s| s.0), 0, program.clone()),
             back_off: pick(levels(), |t| t.back_off.map(Some), None, program.clone()),
-            come_back: pick(levels(), |t| t.come_back.map(Some), None, program.clone()),
+            retry_after: pick(levels(), |t| t.retry_after.map(Some), None, program.clone()),
             second_copies: pick(levels(), |t| t.second_copies.map(|s| Some(s.after.0)), None, program),
         }
     }
--- a/src/log/tests.rs
+++ b/src/log/tests.rs
@@ -4,8 +4,8 @@
 
 #[test]
 fn a_site_that_repeats_itself_is_limited_and_another_is_not() {
-    let site = || tracing::debug_span!("one").metadata().map(|m| m.callsite());
-    let other = || tracing::debug_span!("two").metadata().map(|m| m.callsite());
+    let site = || tracing::debug_span!("one").metadata().map(tracing::Metadata::callsite);
+    let other = || tracing::debug_span!("two").metadata().map(tracing::Metadata::callsite);
     tracing::subscriber::with_default(tracing_subscriber::registry(), || {
         let (one, two) = (site().unwrap(), other().unwrap());
         let (limit, now) = (Limit::default(), Instant::now());
--- a/src/main.rs
+++ b/src/main.rs
@@ -222,7 +222,8 @@
         let ((config, sip), ops) = match read_all(fronts, operators) {
             Ok(read) => read,
             Err(e) => {
-                tracing::error!(error = %e, "reload: all stays as it was");
+                // As a text, which the log escapes: a report has several lines.
+                tracing::error!(error = e.to_string(), "reload: all stays as it was");
                 continue;
             }
         };
--- a/src/operate/http.rs
+++ b/src/operate/http.rs
@@ -31,38 +31,46 @@
         Err(httparse::Error::Version) => return Read::Bad(505),
         Err(_) => return Read::Bad(400),
     };
+    let size = match body_size(request.headers) {
+        Ok(size) => size,
+        Err(status) => return Read::Bad(status),
+    };
+    if buffer.len() < head + size {
+        return Read::More;
+    }
+    let (method, target) = (request.method.unwrap_or_default(), request.path.unwrap_or_default());
+    let path = target.split(['?', '#']).next().unwrap_or_default();
+    Read::Call(method.to_string(), path.to_string())
+}
+
+/// The size of a call's body; or the status that says why it cannot be read.
+fn body_size(headers: &[httparse::Header]) -> Result<usize, u16> {
     let mut body = None;
-    for header in request.headers.iter() {
+    for header in headers {
         if header.name.eq_ignore_ascii_case("transfer-encoding") {
-            return Read::Bad(411);
+            return Err(411);
         }
         if header.name.eq_ignore_ascii_case("expect") {
-            return Read::Bad(417);
+            return Err(417);
         }
         if header.name.eq_ignore_ascii_case("content-length") {
             let digits = header.value.trim_ascii();
             if digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
-                return Read::Bad(400);
+                return Err(400);
             }
-            let size = std::str::from_utf8(digits).ok().and_then(|d| d.parse::<usize>().ok());
+            let size = std::str::from_utf8(digits).ok().and_then(|digits| digits.parse::<usize>().ok());
             // Two lengths that differ would leave open where the call ends.
-            if body.is_some_and(|b| b != size) {
-                return Read::Bad(400);
+            if body.is_some_and(|earlier| earlier != size) {
+                return Err(400);
             }
             body = Some(size);
         }
     }
-    let size = match body {
-        None => 0,
-        Some(Some(size)) if size <= BODY_BYTES => size,
-        Some(_) => return Read::Bad(413),
-    };
-    if buffer.len() < head + size {
-        return Read::More;
+    match body {
+        None => Ok(0),
+        Some(Some(size)) if size <= BODY_BYTES => Ok(size),
+        Some(_) => Err(413),
     }
-    let (method, target) = (request.method.unwrap_or_default(), request.path.unwrap_or_default());
-    let path = target.split(['?', '#']).next().unwrap_or_default();
-    Read::Call(method.to_string(), path.to_string())
 }
 
 /// One answer.
--- a/src/platform/clients/mod.rs
+++ b/src/platform/clients/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! [`Clients`] owns the connections, the callers of all calls and the releases that callers have not confirmed;
 //! [`PlatformFrontend`](super::PlatformFrontend) owns it, and its methods here join it to the core. Each connection is a task of
-//! its own ([`connections`]), which ends with it.
+//! its own (`connections`), which ends with it.
 //!
 //! | file | concern |
 //! | --- | --- |
--- a/src/platform/handover.rs
+++ b/src/platform/handover.rs
@@ -28,12 +28,12 @@
 use super::{PlatformFrontend, Shared};
 
 /// The old process says all it knows within this, or the new one begins without.
-const HELLO: Duration = Duration::from_millis(300);
+const INHERITANCE_TIMEOUT: Duration = Duration::from_millis(300);
 /// A word that has begun comes whole within this.
-const WHOLE: Duration = Duration::from_secs(1);
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(1);
 /// No more waits to be read by the other process before further calls are handed over: a bound far under that of an
 /// outbox, which would close the connection.
-const HANDED_BYTES: usize = 64 * 1024;
+const MAX_UNREAD_BYTES: usize = 64 * 1024;
 
 /// What is held of the other process.
 #[derive(Default)]
@@ -43,11 +43,11 @@
     /// What the old process has told so far; `None` once it was taken or left.
     inheritance: Option<Inheritance>,
     /// Wakes who waits for all of it.
-    told: Rc<Notify>,
+    inheritance_done: Rc<Notify>,
 }
 
 /// This process's own socket, not known to others yet.
-pub(super) struct Place {
+pub(super) struct UpgradeSocket {
     listener: UnixListener,
     own: PathBuf,
     shared: PathBuf,
@@ -55,14 +55,14 @@
 
 /// The socket's name, for a clients' address. `None`: no folder of our own is named, or no one can come back to the
 /// address.
-fn place_of(address: SocketAddr) -> Option<PathBuf> {
+fn socket_path(address: SocketAddr) -> Option<PathBuf> {
     let folder = std::env::var_os("TMPDIR").filter(|dir| !dir.is_empty())?;
     (address.port() != 0).then(|| PathBuf::from(folder).join(format!("cobaltspool-{address}.upgrade")))
 }
 
 /// Looks for an older process at this address and takes what it tells. Never keeps this one from starting.
-pub(super) async fn meet(frontend: &Shared, address: SocketAddr) -> Option<Place> {
-    let shared = place_of(address)?;
+pub(super) async fn meet(frontend: &Shared, address: SocketAddr) -> Option<UpgradeSocket> {
+    let shared = socket_path(address)?;
     let own = shared.with_extension(format!("upgrade.{}", std::process::id()));
     let _ = std::fs::remove_file(&own); // of an earlier process of the same number
     let bound = UnixListener::bind(&own);
@@ -74,32 +74,32 @@
             return None;
         }
     };
-    let place = Place { listener, own, shared };
-    let older = timeout(HELLO, UnixStream::connect(&place.shared)).await;
+    let place = UpgradeSocket { listener, own, shared };
+    let older = timeout(INHERITANCE_TIMEOUT, UnixStream::connect(&place.shared)).await;
     let Ok(Ok(stream)) = older else { return Some(place) };
-    if !of_our_user(&stream, &place.own) {
+    if !is_own_user(&stream, &place.own) {
         tracing::warn!(path = %place.shared.display(), "another user's socket: no hand-over");
         return Some(place);
     }
-    let told = frontend.borrow().peer_process.told.clone();
+    let told = frontend.borrow().peer_process.inheritance_done.clone();
     frontend.borrow_mut().peer_process.inheritance = Some(Inheritance::default());
-    tokio::task::spawn_local(speak(frontend.clone(), stream, Role::Newer));
-    if timeout(HELLO, told.notified()).await.is_err() {
+    tokio::task::spawn_local(run_connection(frontend.clone(), stream, Role::Newer));
+    if timeout(INHERITANCE_TIMEOUT, told.notified()).await.is_err() {
         frontend.borrow_mut().abandon_handover(&"the older process does not say what it knows");
     }
     Some(place)
 }
 
 /// Whether who is at the other end is of the user that owns a file of ours.
-fn of_our_user(stream: &UnixStream, own: &Path) -> bool {
+fn is_own_user(stream: &UnixStream, own: &Path) -> bool {
     let owner = std::fs::metadata(own).map(|m| m.uid());
     stream.peer_cred().is_ok_and(|peer| owner.is_ok_and(|uid| uid == peer.uid()))
 }
 
 /// This process serves: it says so to the older one, and takes newer ones in for ever.
-pub(super) async fn follow(frontend: Shared, place: Option<Place>) {
+pub(super) async fn follow(frontend: Shared, place: Option<UpgradeSocket>) {
     frontend.borrow_mut().send_to_peer_process(&HandoverMessage::Serving);
-    let Some(Place { listener, own, shared }) = place else { return std::future::pending().await };
+    let Some(UpgradeSocket { listener, own, shared }) = place else { return std::future::pending().await };
     // From here on the next process finds this one.
     if let Err(e) = std::fs::rename(&own, &shared) {
         tracing::info!(error = %e, "no hand-over at upgrades");
@@ -109,10 +109,10 @@
         match listener.accept().await {
             // One upgrade at a time: whoever comes beside it hears nothing and begins without a hand-over.
             Ok((stream, _))
-                if of_our_user(&stream, &shared) && frontend.borrow().peer_process.outbox.is_none() =>
+                if is_own_user(&stream, &shared) && frontend.borrow().peer_process.outbox.is_none() =>
             {
                 frontend.borrow_mut().peer_process.role = Role::Older { is_succeeded: false };
-                tokio::task::spawn_local(speak(
+                tokio::task::spawn_local(run_connection(
                     frontend.clone(),
                     stream,
                     Role::Older { is_succeeded: false },
@@ -125,9 +125,9 @@
     }
 }
 
-async fn speak(frontend: Shared, mut stream: UnixStream, role: Role) {
+async fn run_connection(frontend: Shared, mut stream: UnixStream, role: Role) {
     let outbox = Rc::new(Outbox::default());
-    frontend.borrow_mut().met(outbox.clone(), role);
+    frontend.borrow_mut().handle_peer_process(outbox.clone(), role);
     let on_bytes = |buffer: &mut BytesMut| {
         while let Some(end) = buffer.iter().position(|b| *b == b'\n') {
             let word = HandoverMessage::from_line(&buffer[..end]);
@@ -139,22 +139,22 @@
         buffer.len() < MAX_LINE_BYTES
     };
     let on_drained = || frontend.borrow_mut().hand_over();
-    let _ = link::run(&mut stream, &outbox, WHOLE, on_bytes, on_drained).await;
+    let _ = link::run(&mut stream, &outbox, MESSAGE_TIMEOUT, on_bytes, on_drained).await;
     outbox.last_words(&stream);
     frontend.borrow_mut().handle_peer_process_gone(&outbox);
 }
 
 impl PlatformFrontend {
-    fn met(&mut self, outbox: Rc<Outbox>, role: Role) {
+    fn handle_peer_process(&mut self, outbox: Rc<Outbox>, role: Role) {
         self.peer_process.outbox = Some(outbox);
-        self.turn_to(role);
+        self.set_role(role);
         if matches!(role, Role::Older { .. }) {
-            self.say_what_is_known();
+            self.send_inheritance();
         }
     }
 
     /// Takes on a role, with what is shared by it.
-    fn turn_to(&mut self, role: Role) {
+    fn set_role(&mut self, role: Role) {
         self.peer_process.role = role;
         self.driver.serving_state.set_successor(role.has_successor());
         self.driver.gateway.set_limits_shared(role.is_shared());
@@ -168,7 +168,7 @@
         }
     }
 
-    fn say_what_is_known(&mut self) {
+    fn send_inheritance(&mut self) {
         let now = clock::now();
         self.send_to_peer_process(&HandoverMessage::Hello { version: VERSION, seq: self.seq });
         for server in self.directory.servers().collect::<Vec<_>>() {
@@ -185,55 +185,33 @@
         self.send_to_peer_process(&HandoverMessage::Begin);
     }
 
-    /// Takes a word of the other process; false to end the connection.
-    fn handle_peer_message(&mut self, word: HandoverMessage) -> bool {
-        if let Some(mut held) = self.peer_process.inheritance.take() {
-            match held.handle_message(word) {
-                InheritanceProgress::Incomplete => self.peer_process.inheritance = Some(held),
-                InheritanceProgress::Complete => {
-                    self.inherit(held);
-                    self.peer_process.told.notify_one();
-                }
-                InheritanceProgress::Refused(why) => {
-                    self.abandon_handover(&why);
-                    return false;
-                }
-            }
-            return true;
+    /// Takes a message of the other process; false to end the connection.
+    fn handle_peer_message(&mut self, message: HandoverMessage) -> bool {
+        if let Some(inheritance) = self.peer_process.inheritance.take() {
+            return self.continue_inheritance(inheritance, message);
         }
-        match word {
+        match message {
             HandoverMessage::Serving if matches!(self.peer_process.role, Role::Older { .. }) => {
                 tracing::info!("a newer process serves beside this one");
-                self.turn_to(Role::Older { is_succeeded: true });
+                self.set_role(Role::Older { is_succeeded: true });
                 self.maintain(clock::now());
             }
             HandoverMessage::Established(call) => self.adopt(call),
             HandoverMessage::ReleasedByCaller { tag } => {
                 match Tag::new(&tag).and_then(|tag| self.clients.call_of(tag)) {
                     Some(call) => self.end_call_by_caller(call),
-                    None => self.bounce(&HandoverMessage::ReleasedByCaller { tag }),
+                    None => self.return_message(&HandoverMessage::ReleasedByCaller { tag }),
                 }
             }
             HandoverMessage::EndedByServer { server, tag, completed } => {
-                let attempt = self
-                    .directory
-                    .number(&server)
-                    .zip(Tag::new(&tag))
-                    .and_then(|(server, tag)| self.servers.established_at(CallAtServer { server, tag }));
-                match attempt {
-                    Some(attempt) => {
-                        let outcome = if completed { Outcome::Completed } else { Outcome::Reset };
-                        self.end_attempt(attempt, outcome, Cause::Unspecified, LoadReport::default());
-                    }
-                    None => self.bounce(&HandoverMessage::EndedByServer { server, tag, completed }),
-                }
+                self.handle_ended_by_server(server, tag, completed);
             }
             HandoverMessage::PendingRelease { tag, peer, completed } => {
                 if let Some(tag) = Tag::new(&tag) {
                     self.clients.release_for_peer_process(tag, peer, completed);
                 }
             }
-            // Said out of order, or by a version that says more: nothing depends on it.
+            // Out of order, or of a version that says more: nothing depends on it.
             HandoverMessage::Hello { .. }
             | HandoverMessage::Server(_)
             | HandoverMessage::Begin
@@ -242,6 +220,35 @@
         true
     }
 
+    /// Takes the next message of an inheritance; false to end the connection.
+    fn continue_inheritance(&mut self, mut inheritance: Inheritance, message: HandoverMessage) -> bool {
+        match inheritance.handle_message(message) {
+            InheritanceProgress::Incomplete => self.peer_process.inheritance = Some(inheritance),
+            InheritanceProgress::Complete => {
+                self.inherit(inheritance);
+                self.peer_process.inheritance_done.notify_one();
+            }
+            InheritanceProgress::Refused(error) => {
+                self.abandon_handover(&error);
+                return false;
+            }
+        }
+        true
+    }
+
+    /// A server ended a call whose end reached the other process.
+    fn handle_ended_by_server(&mut self, server: String, tag: String, completed: bool) {
+        let at = self.directory.number(&server).zip(Tag::new(&tag));
+        let attempt = at.and_then(|(server, tag)| self.servers.established_at(CallAtServer { server, tag }));
+        match attempt {
+            Some(attempt) => {
+                let outcome = if completed { Outcome::Completed } else { Outcome::Reset };
+                self.end_attempt(attempt, outcome, Cause::Unspecified, LoadReport::default());
+            }
+            None => self.return_message(&HandoverMessage::EndedByServer { server, tag, completed }),
+        }
+    }
+
     /// Takes over what the older process knows of servers: drains that this one's list does not have yet, servers that do
     /// not answer, and waits told a moment ago.
     fn inherit(&mut self, told: Inheritance) {
@@ -269,13 +276,13 @@
 
     /// Does without the other process.
     fn abandon_handover(&mut self, why: &dyn std::fmt::Display) {
-        tracing::warn!(%why, "the upgrade's hand-over is left out");
+        tracing::warn!(why = why.to_string(), "the upgrade's hand-over is left out");
         self.peer_process.inheritance = None;
-        self.peer_process.told.notify_one();
+        self.peer_process.inheritance_done.notify_one();
         if let Some(outbox) = self.peer_process.outbox.take() {
             outbox.close();
         }
-        self.turn_to(Role::Alone);
+        self.set_role(Role::Alone);
     }
 
     fn handle_peer_process_gone(&mut self, outbox: &Rc<Outbox>) {
@@ -285,8 +292,8 @@
         tracing::info!("the other process at this address is gone");
         self.peer_process.outbox = None;
         self.peer_process.inheritance = None;
-        self.peer_process.told.notify_one();
-        self.turn_to(Role::Alone);
+        self.peer_process.inheritance_done.notify_one();
+        self.set_role(Role::Alone);
     }
 
     /// A call that stands at the older process is ours from now on.
@@ -314,7 +321,7 @@
         }
         let Some(outbox) = self.peer_process.outbox.clone() else { return };
         for call in self.driver.gateway.established_call_ids() {
-            if outbox.waiting() > HANDED_BYTES {
+            if outbox.waiting() > MAX_UNREAD_BYTES {
                 return; // the rest follows when this is written
             }
             self.hand_over_one(call, &outbox);
@@ -343,11 +350,11 @@
         }
     }
 
-    /// A word on a call that is not here. It may have been said to the newer process while the call was on its way there:
-    /// the older one sends it back once, and by then the call has arrived before it.
-    fn bounce(&mut self, word: &HandoverMessage) {
+    /// A message on a call that is not here. It may have been sent to the newer process while the call was on its way there: the
+    /// older one returns it once, and by then the call has arrived before it.
+    fn return_message(&mut self, message: &HandoverMessage) {
         if self.driver.serving_state.is_handing_over() {
-            self.send_to_peer_process(word);
+            self.send_to_peer_process(message);
         }
     }
 }
--- a/src/platform/servers/mod.rs
+++ b/src/platform/servers/mod.rs
@@ -1,7 +1,7 @@
 //! The setup servers' side: connections out, attempts on them, and what comes back.
 //!
 //! [`Servers`] owns the connections and what is known of each server's reachability; [`PlatformFrontend`](super::PlatformFrontend)
-//! owns it, and its methods here join it to the core. Each connection is a task of its own ([`pool`]), which ends with it.
+//! owns it, and its methods here join it to the core. Each connection is a task of its own (`pool`), which ends with it.
 //!
 //! | file | concern |
 //! | --- | --- |
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -552,7 +552,7 @@
     far.expect("START");
     far.started(&json!(TAG));
     caller.expect("STARTED");
-    let gone = resolver.change(0, |list| list.clear());
+    let gone = resolver.change(0, std::vec::Vec::clear);
     resolver.told(gone);
     let back = resolver.change(0, |list| list.push(line("s-1", at, 0)));
     resolver.told(back);
@@ -620,7 +620,7 @@
 fn a_list_that_empties_and_fills_again() {
     let (other, other_at) = listen();
     let (_server, resolver, _program, _far, gate) = gatekeeper();
-    let gone = resolver.change(0, |list| list.clear());
+    let gone = resolver.change(0, std::vec::Vec::clear);
     resolver.told(gone);
     resolver.asked_often(1); // the list has been taken
     let mut caller = Lines::connect(gate);
--- a/tests/limits_properties.rs
+++ b/tests/limits_properties.rs
@@ -316,7 +316,7 @@
                 return Ok(());
             }
         };
-        let names: Vec<String> = CLASSES.iter().map(|c| c.to_string()).collect();
+        let names: Vec<String> = CLASSES.iter().map(ToString::to_string).collect();
         let live = Live::of(Some(Rc::new(plan)), &settings(), &names, 7);
         let mut world = World {
             gateway: Gateway::with_limits(settings(), live, 7),
@@ -370,7 +370,7 @@
 
 /// Whether some call of some route and class, its limits forced past the checker, breaks this rule.
 fn would_break(rule: &str, limits: &Value) -> bool {
-    let names: Vec<String> = CLASSES.iter().map(|c| c.to_string()).collect();
+    let names: Vec<String> = CLASSES.iter().map(ToString::to_string).collect();
     let calls = (0..2).flat_map(|class| ["1", "12", "3"].map(|number| (class, number)));
     calls.into_iter().any(|(class, number)| {
         let mut live = Live::new(Rc::new(forced(limits)), names.clone(), 1);
--- a/tests/ops_files.rs
+++ b/tests/ops_files.rs
@@ -28,7 +28,7 @@
         attempts: told.get("attempts").map_or(4, |n| n.parse().unwrap()),
         release_wait: 500_000,
         second_copies: Some(told.get("second-copies") == Some(&"allowed")),
-        come_back: 6_000_000,
+        max_retry_after: 6_000_000,
         classes: Some(vec![
             class("voice", 9_000_000, true, vec![1, 2]),
             class("order", 3_000_000, false, vec![2, 3]),
--- a/tests/peers/mod.rs
+++ b/tests/peers/mod.rs
@@ -738,7 +738,7 @@
                 match message["verb"].as_str() {
                     Some("START") => self.started(&message["tag"]),
                     Some("FINISH") => {
-                        self.say(json!({"verb": "FINISHED", "tag": message["tag"], "opts": {}}))
+                        self.say(json!({"verb": "FINISHED", "tag": message["tag"], "opts": {}}));
                     }
                     _ => {}
                 }
--- a/tests/sip.rs
+++ b/tests/sip.rs
@@ -482,7 +482,7 @@
 fn a_server_that_goes_and_returns_keeps_its_new_calls() {
     let (mut site, _, _) = standing(On::Udp, "c32");
     let at = site.server.own;
-    let gone = site.resolver.change(0, |list| list.clear());
+    let gone = site.resolver.change(0, Vec::clear);
     site.resolver.told(gone);
     let back = site.resolver.change(0, |list| list.push(line("s-1", at, 0)));
     site.resolver.told(back);
