--- a/crates/fleet-sim/src/schedule.rs
+++ b/crates/fleet-sim/src/schedule.rs
@@ -163,8 +163,8 @@
         10 if up(world, n) && world.truth().len() > 1 => {
             let name = world.nodes[n].id.to_string();
             let seeds = seeds(world, &name);
-            let twin = world.add(&name, seeds, Vec::new());
-            format!("start {name} twice, as {twin}")
+            let duplicate = world.add(&name, seeds, Vec::new());
+            format!("start {name} twice, as {duplicate}")
         }
         11 => {
             let most = world.draw(size as u64) as usize;
--- a/crates/fleet-testkit/src/lib.rs
+++ b/crates/fleet-testkit/src/lib.rs
@@ -137,7 +137,7 @@
         n
     }
 
-    /// A member that nobody knows, and that asks these first.
+    /// Starts a member that no other knows, with these seeds.
     pub fn newcomer(&mut self, id: &str, seeds: Vec<SocketAddr>) -> usize {
         assert!(!self.plan.linked, "there is no link to it");
         let n = self.members.len();
@@ -146,9 +146,9 @@
         n
     }
 
-    /// One more process under the id of another, that asks a third first. Not for linked fleets: their links lead to one
-    /// process an id.
-    pub fn twin(&mut self, of: usize, seed: usize) -> usize {
+    /// Starts a second process under the id of another, with a third member as its seed. Not for linked fleets, whose links
+    /// lead to one process per id.
+    pub fn start_duplicate(&mut self, of: usize, seed: usize) -> usize {
         assert!(!self.plan.linked, "links lead to one process an id");
         let id = self.members[of].id.clone();
         self.newcomer(&id, vec![self.members[seed].address()])
--- a/crates/fleet-testkit/src/process.rs
+++ b/crates/fleet-testkit/src/process.rs
@@ -56,7 +56,7 @@
             .env_remove("LB_OPS")
             .env("FAILPOINTS", &self.faults)
             .envs(self.env.iter().cloned())
-            // No hand-over between a process and the next under its id, unless the story is of an upgrade.
+            // No handover between a process and the next under its id, unless the scenario is an upgrade.
             .env("TMPDIR", if self.meets { folder.to_path_buf() } else { folder.join("none") })
             .stdin(Stdio::null())
             .stderr(Stdio::piped())
--- a/crates/fleet/src/membership/gossip.rs
+++ b/crates/fleet/src/membership/gossip.rs
@@ -43,48 +43,46 @@
         if record.id == self.config.id {
             return self.handle_own_record(now, record.state_version, Some(&record), out);
         }
-        let (id, state_version, by) = (record.id.clone(), record.state_version, record.reported_by.clone());
+        let (id, new, reporter) = (record.id.clone(), record.state_version, record.reported_by.clone());
         let Some(held) = self.table.get(&id) else {
-            if !state_version.state.live() && record.since >= self.config.memory {
-                return; // forgotten here already
-            }
-            if !self.table.insert(now, record) {
-                return out.push(Action::Notify(Event::Full(id)));
-            }
-            self.record_change(now);
-            if state_version.state.live() {
-                out.push(Action::Notify(Event::Joined(id)));
-            }
-            return;
+            return self.insert_new_record(now, record, out);
         };
-        let (old, matter) =
-            (held.record.state_version, held.record.info.urgent_fields() != record.info.urgent_fields());
-        if state_version < old {
+        let old = held.record.state_version;
+        let is_urgent = held.record.info.urgent_fields() != record.info.urgent_fields();
+        if new < old {
             return;
         }
-        if state_version == old {
-            if let (MemberState::Suspect, Some(by)) = (state_version.state, &by) {
-                self.table.confirm(&id, by);
+        if new == old {
+            if let (MemberState::Suspect, Some(reporter)) = (new.state, &reporter) {
+                self.table.confirm(&id, reporter);
             }
             return;
         }
         self.table.insert(now, record);
-        if old.state != state_version.state || old.incarnation != state_version.incarnation || matter {
+        if old.state != new.state || old.incarnation != new.incarnation || is_urgent {
             self.record_change(now);
         }
-        let by = by.unwrap_or_else(|| id.clone());
-        let event = match state_version.state {
-            MemberState::Alive if old.incarnation != state_version.incarnation => Event::Joined(id),
-            MemberState::Alive if old.state != MemberState::Alive => Event::Back(id),
-            MemberState::Suspect if old.state != MemberState::Suspect => Event::Suspected(id, by),
-            MemberState::Down if old.state != MemberState::Down => Event::Down(id, by),
-            MemberState::Left if old.state != MemberState::Left => Event::Left(id),
-            MemberState::Alive | MemberState::Suspect | MemberState::Down | MemberState::Left => return,
-        };
-        out.push(Action::Notify(event));
+        let event = transition_event(id, old, new, reporter);
+        out.extend(event.map(Action::Notify));
+    }
+
+    /// Stores the first record about a member, unless the member failed or left too long ago to be listed.
+    fn insert_new_record(&mut self, now: Micros, record: MemberRecord, out: &mut Vec<Action>) {
+        let id = record.id.clone();
+        let is_live = record.state_version.state.live();
+        if !is_live && record.since >= self.config.memory {
+            return;
+        }
+        if !self.table.insert(now, record) {
+            return out.push(Action::Notify(Event::Full(id)));
+        }
+        self.record_change(now);
+        if is_live {
+            out.push(Action::Notify(Event::Joined(id)));
+        }
     }
 
-    /// Handles what somebody says of this member itself.
+    /// Handles another member's statement about this member.
     pub(super) fn handle_own_record(
         &mut self,
         now: Micros,
@@ -100,13 +98,7 @@
             return;
         }
         if told.incarnation == self.incarnation {
-            if told.state != MemberState::Alive && told.seq >= self.seq {
-                self.seq = told.seq + 1;
-                self.distrust = (self.distrust + 1).min(failure_detector::MAX_DISTRUST);
-                out.push(Action::Notify(Event::Refuted));
-                self.gossip_to_some(now, FrameKind::Gossip, GOSSIP_FAN_OUT, out);
-            }
-            return;
+            return self.refute(now, told, out);
         }
         let age = now - self.started;
         let stalled =
@@ -115,27 +107,48 @@
         let verdict =
             self.superseded.judge(self.incarnation.nonce, age, told.incarnation.nonce, its_age, stalled);
         if let (Verdict::SupersedeDuplicate | Verdict::Yield, Some(record)) = (verdict, record) {
-            let duplicate = DuplicateProcess {
-                nonce: told.incarnation.nonce,
-                address: record.info.address,
-                age: record.info.age,
-            };
-            if self.duplicate.is_none_or(|t| t.nonce != duplicate.nonce) {
-                out.push(Action::Notify(Event::DuplicateId(duplicate)));
-            }
-            self.duplicate = Some(duplicate);
+            self.record_duplicate(told, record, out);
             if verdict == Verdict::Yield {
-                self.is_standby = true;
-                self.next_reach = now + self.config.period * STANDBY_QUERY_PERIODS;
-                out.push(Action::Notify(Event::YieldedToDuplicate(duplicate)));
-                // The newer start may know nobody but this one.
-                return out.push(Action::ExchangeTables(Destination::Address(record.info.address)));
+                return self.yield_to_duplicate(now, record, out);
             }
         }
         self.incarnation.generation = told.incarnation.generation + 1;
         self.gossip_to_some(now, FrameKind::Gossip, GOSSIP_FAN_OUT, out);
     }
 
+    /// Refutes a statement that this member is not alive.
+    fn refute(&mut self, now: Micros, told: StateVersion, out: &mut Vec<Action>) {
+        if told.state == MemberState::Alive || told.seq < self.seq {
+            return;
+        }
+        self.seq = told.seq + 1;
+        self.distrust = (self.distrust + 1).min(failure_detector::MAX_DISTRUST);
+        out.push(Action::Notify(Event::Refuted));
+        self.gossip_to_some(now, FrameKind::Gossip, GOSSIP_FAN_OUT, out);
+    }
+
+    /// Records another process under this member's id.
+    fn record_duplicate(&mut self, told: StateVersion, record: &MemberRecord, out: &mut Vec<Action>) {
+        let duplicate = DuplicateProcess {
+            nonce: told.incarnation.nonce,
+            address: record.info.address,
+            age: record.info.age,
+        };
+        if self.duplicate.is_none_or(|known| known.nonce != duplicate.nonce) {
+            out.push(Action::Notify(Event::DuplicateId(duplicate)));
+        }
+        self.duplicate = Some(duplicate);
+    }
+
+    /// Goes into standby for the recorded duplicate.
+    fn yield_to_duplicate(&mut self, now: Micros, record: &MemberRecord, out: &mut Vec<Action>) {
+        self.is_standby = true;
+        self.next_reach = now + self.config.period * STANDBY_QUERY_PERIODS;
+        out.extend(self.duplicate.map(|duplicate| Action::Notify(Event::YieldedToDuplicate(duplicate))));
+        // The newer process may know no other member than this one.
+        out.push(Action::ExchangeTables(Destination::Address(record.info.address)));
+    }
+
     /// The frame that goes over a stream in an exchange of tables.
     pub fn table_frame(&mut self, now: Micros) -> Frame {
         let mut frame = self.new_frame(now, FrameKind::FullState, None, 0);
@@ -217,3 +230,25 @@
         }
     }
 }
+
+/// The event of a change from one state of a member to another; `None` if the change is not reported.
+fn transition_event(
+    id: MemberId,
+    old: StateVersion,
+    new: StateVersion,
+    reporter: Option<MemberId>,
+) -> Option<Event> {
+    if new.state == MemberState::Alive && old.incarnation != new.incarnation {
+        return Some(Event::Joined(id));
+    }
+    if new.state == old.state {
+        return None;
+    }
+    let reporter = reporter.unwrap_or_else(|| id.clone());
+    Some(match new.state {
+        MemberState::Alive => Event::Back(id),
+        MemberState::Suspect => Event::Suspected(id, reporter),
+        MemberState::Down => Event::Down(id, reporter),
+        MemberState::Left => Event::Left(id),
+    })
+}
--- a/crates/fleet/src/membership/mod.rs
+++ b/crates/fleet/src/membership/mod.rs
@@ -147,7 +147,7 @@
     /// How little this one trusts itself: 0 is wholly, and each step makes it slower to judge others.
     distrust: u32,
     probe_order: VecDeque<MemberId>,
-    /// Probes without an answer.
+    /// Probes that were not answered yet.
     pending_probes: Vec<PendingProbe>,
     /// When its distrust last grew.
     distrusted_at: Micros,
@@ -163,7 +163,7 @@
     has_reported_settled: bool,
     superseded: SupersededIncarnations,
     duplicate: Option<DuplicateProcess>,
-    /// Where the process is reached that this one was in standby for.
+    /// Address of the process that this one was in standby for.
     last_duplicate_address: Option<SocketAddr>,
     is_standby: bool,
     drop_counters: DropCounters,
@@ -171,21 +171,21 @@
 
 /// Ticks in a probe period.
 const TICKS_PER_PERIOD: u64 = 5;
-/// Nothing has changed for so many periods when the membership counts as settled.
+/// Periods without a change after which the membership counts as settled.
 const SETTLED_PERIODS: u64 = 3;
-/// Seeds and unseen members are looked for once in so many periods.
+/// Periods between attempts to reach seeds and unseen members.
 const SEARCH_PERIODS: u64 = 2;
-/// Whole tables are exchanged with a drawn member once in so many periods, and on a difference no more often than ...
+/// Periods between exchanges of whole tables with a random member.
 const EXCHANGE_PERIODS: u64 = 30;
-/// ... once in so many.
+/// Minimum number of periods between exchanges that a difference of digests causes.
 const MIN_EXCHANGE_PERIODS: u64 = 4;
-/// MemberInfo goes straight to so many; further ones hear it from them.
+/// Number of members that urgent gossip is sent to directly.
 const GOSSIP_FAN_OUT: usize = 3;
-/// Who leaves says so to so many.
+/// Number of members that a leaving member notifies.
 const LEAVE_FAN_OUT: usize = 8;
-/// A process in standby asks once in so many periods whether the id is free.
+/// Periods between a standby process's queries whether its id is free.
 const STANDBY_QUERY_PERIODS: u64 = 5;
-/// A process that missed time is not sure of anything for so many periods.
+/// Periods after a stall in which a process does not suspect others.
 const DOUBT_PERIODS: u64 = 3;
 
 impl Membership {
@@ -232,22 +232,22 @@
         }
     }
 
-    /// The settling bound: with no fault for so long, all live members hold the same list, and it is the true one. A function of the fleet's
-    /// size, from `docs/design/fleet.md`.
+    /// The settling bound: after this time without a fault, all live members hold the same, correct list. It depends on the
+    /// size of the fleet (`docs/design/fleet.md`).
     pub fn settling_bound(period: Micros, size: usize) -> Micros {
         period * (16.0 + 14.0 * (size.max(10) as f64).log10()).ceil() as u64
     }
 
-    /// When it wants the next tick.
+    /// Time of the next tick.
     pub fn next_deadline(&self) -> Micros {
         self.last_tick + self.config.period / TICKS_PER_PERIOD
     }
 
     /// Handles a datagram.
     pub fn handle_frame(&mut self, now: Micros, frame: Frame, out: &mut Vec<Action>) {
-        if self.state == MemberState::Left
-            || frame.from.id == self.config.id && frame.from.state_version.incarnation == self.incarnation
-        {
+        let is_own =
+            frame.from.id == self.config.id && frame.from.state_version.incarnation == self.incarnation;
+        if self.state == MemberState::Left || is_own {
             return;
         }
         if frame.kind == FrameKind::IdQuery {
@@ -260,25 +260,30 @@
             self.drop_counters.replayed += 1;
             return;
         }
-        // Meant for an earlier start of this process: whoever sends it may not know this one yet, and is answered; nothing
-        // that stands in it is believed.
-        let stale = frame.to != 0 && frame.to != self.incarnation.nonce;
-        if stale && frame.kind != FrameKind::Ping {
+        // A frame for an earlier incarnation of this process: its sender may not know this one yet and is answered, but the
+        // frame's content is ignored.
+        let is_stale = frame.to != 0 && frame.to != self.incarnation.nonce;
+        if is_stale && frame.kind != FrameKind::Ping {
             self.drop_counters.replayed += 1;
             return;
         }
+        self.handle_new_frame(now, frame, is_stale, out);
+    }
+
+    /// Handles a frame that is not a replay.
+    fn handle_new_frame(&mut self, now: Micros, frame: Frame, is_stale: bool, out: &mut Vec<Action>) {
         let Frame { kind, from, counter, probe, target, you, digest, records, .. } = frame;
         let sender = from.clone();
         let incarnation = sender.state_version.incarnation;
         let held = self.table.state_version(&from.id);
         let is_known = held.is_some_and(|held| held.incarnation == incarnation);
-        // It hears of an earlier start of its generation, so that its own may go above that.
+        // The sender is told of an earlier incarnation of its generation, so that it can choose a higher one.
         let earlier = held.filter(|held| {
             held.incarnation != incarnation && held.incarnation.generation == incarnation.generation
         });
-        if !stale {
+        if !is_stale {
             self.handle_sender(now, from, you, records, out);
-            // The first frame of a start counts as seen too.
+            // The first frame of an incarnation counts as seen too.
             if !is_known {
                 self.table.is_new_frame(&sender.id, incarnation, counter);
             }
--- a/crates/fleet/src/quorum/mod.rs
+++ b/crates/fleet/src/quorum/mod.rs
@@ -186,13 +186,9 @@
             log,
             config,
         };
-        if !voter.log.state().is_empty() {
-            let state = voter.log.state().to_vec();
-            actions.push(Action::Restore { index: voter.commit_index, state });
-        }
+        voter.restore_state(actions);
         voter.reset_election_deadline(now);
-        let trusts_disk = voter.config.trust_disk && is_intact;
-        if voter.config.checks.rejoin && !trusts_disk {
+        if voter.config.checks.rejoin && !(voter.config.trust_disk && is_intact) {
             voter.start_rejoin(now, actions);
         } else {
             voter.hard_state.incarnations.insert(voter.config.id.clone(), voter.incarnation);
@@ -201,6 +197,15 @@
         voter
     }
 
+    /// Restores the state machine from the snapshot on disk, if there is one.
+    fn restore_state(&self, actions: &mut Vec<Action>) {
+        if self.log.state().is_empty() {
+            return;
+        }
+        let state = self.log.state().to_vec();
+        actions.push(Action::Restore { index: self.commit_index, state });
+    }
+
     /// More than half of the voters.
     pub fn majority(&self) -> usize {
         self.config.voters.len() / 2 + 1
--- /dev/null
+++ b/src/bin/cobaltspool-simulator-adapter/host.rs
@@ -0,0 +1,140 @@
+//! One simulated gatekeeper: its controller and its numbering of servers.
+
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+use base64::Engine as _;
+use base64::engine::general_purpose::STANDARD as BASE64;
+use cobaltspool::{Action, AttemptEnd, CallId, Controller, Event, Micros, ServerId};
+
+use crate::error::AdapterError;
+use crate::wire::{
+    AckFirst, Act, Element, Ending, Inbox, Msg, PeersKnown, PingResult, Profile, Reminder, Reply, Scope,
+};
+use crate::{from_wire, to_wire};
+
+/// The server lists that the simulator has sent, by reference.
+pub type ServerLists = BTreeMap<u64, Vec<Element>>;
+
+/// A gatekeeper's controller, and the ids of the servers that its lists have named.
+pub struct Host {
+    controller: Controller,
+    ids: BTreeMap<Rc<str>, ServerId>,
+    names: Vec<Rc<str>>,
+    /// Reused between events.
+    actions: Vec<Action>,
+}
+
+impl Host {
+    /// A gatekeeper that has seen no event.
+    pub fn new(profile: &Profile, random_seed: u64) -> Self {
+        Self {
+            controller: Controller::new(from_wire::settings(profile), random_seed),
+            ids: BTreeMap::new(),
+            names: Vec::new(),
+            actions: Vec::new(),
+        }
+    }
+
+    /// The simulator's name of a server.
+    pub fn server_name(&self, server: ServerId) -> Rc<str> {
+        self.names[server.0 as usize].clone()
+    }
+
+    /// Passes a message to the controller and appends its actions to `acts`.
+    pub fn handle(
+        &mut self,
+        now: Micros,
+        message: Msg,
+        lists: &ServerLists,
+        acts: &mut Vec<Act>,
+    ) -> Result<(), AdapterError> {
+        let Some(front) = message.front() else { return Ok(()) };
+        let Some(event) = self.event(message, lists)? else { return Ok(()) };
+        let mut actions = std::mem::take(&mut self.actions);
+        self.controller.handle(now, event, &mut actions);
+        acts.extend(actions.drain(..).map(|action| to_wire::act(front, self, action)));
+        self.actions = actions;
+        Ok(())
+    }
+
+    /// Translates a message; `None` if it is not an event of a controller.
+    fn event(&mut self, message: Msg, lists: &ServerLists) -> Result<Option<Event>, AdapterError> {
+        let event = match message {
+            Msg::Begin(_) | Msg::Directory(_) | Msg::Killed(_) => return Ok(None),
+            Msg::PeersKnown(message) => self.endpoint_list(&message, lists)?,
+            Msg::Query(query) => Event::Call(from_wire::new_call(query)),
+            Msg::Inbox(inbox) => peer_message(&inbox)?,
+            Msg::Aborted(aborted) => Event::CallerGone { call: CallId(aborted.request_id) },
+            Msg::Reply(reply) => Event::AttemptEnded(self.attempt_end(&reply)),
+            Msg::PingResult(result) => self.load(&result),
+            Msg::Reminder(reminder) => timer(&reminder)?,
+            Msg::AckFirst(ack) => self.established(&ack),
+        };
+        Ok(Some(event))
+    }
+
+    fn endpoint_list(&mut self, message: &PeersKnown, lists: &ServerLists) -> Result<Event, AdapterError> {
+        if message.scope == Scope::Unavailable {
+            return Ok(Event::EndpointListUnavailable);
+        }
+        let list = lists.get(&message.r#ref).ok_or(AdapterError::UnknownList(message.r#ref))?;
+        let entry = |element: &Element| from_wire::server_entry(self.server_id(&element.server), element);
+        let entries = list.iter().map(entry).collect();
+        Ok(Event::EndpointList { scope: from_wire::list_scope(message.scope), entries })
+    }
+
+    fn attempt_end(&mut self, reply: &Reply) -> AttemptEnd {
+        AttemptEnd {
+            call: CallId(reply.request_id),
+            attempt: reply.copy,
+            server: self.server_id(&reply.server),
+            outcome: from_wire::outcome(reply.ending),
+            cause: from_wire::cause(reply.note),
+            elapsed: reply.took_us,
+            is_call_over: reply.ended,
+            load: from_wire::load(&reply.telemetry),
+            retry_delay: 0,
+            may_retry: true,
+        }
+    }
+
+    fn load(&mut self, result: &PingResult) -> Event {
+        Event::Load {
+            server: self.server_id(&result.server),
+            answered: result.ending == Ending::Success,
+            load: from_wire::load(&result.telemetry),
+        }
+    }
+
+    fn established(&mut self, ack: &AckFirst) -> Event {
+        Event::Established {
+            call: CallId(ack.request_id),
+            attempt: ack.copy,
+            server: self.server_id(&ack.server),
+            elapsed: ack.took_us,
+        }
+    }
+
+    /// The id of a server; a new one if it was never named.
+    fn server_id(&mut self, name: &str) -> ServerId {
+        if let Some(id) = self.ids.get(name) {
+            return *id;
+        }
+        let id = ServerId(self.names.len() as u32);
+        let name: Rc<str> = name.into();
+        self.names.push(name.clone());
+        self.ids.insert(name, id);
+        id
+    }
+}
+
+fn peer_message(inbox: &Inbox) -> Result<Event, AdapterError> {
+    let bytes = BASE64.decode(&inbox.msg).map_err(AdapterError::BadPeerMessage)?;
+    Ok(Event::Message { from: inbox.origin_peer, bytes })
+}
+
+fn timer(reminder: &Reminder) -> Result<Event, AdapterError> {
+    let key = reminder.key_back.parse();
+    Ok(Event::Timer { key: key.map_err(|_| AdapterError::BadTimerKey(reminder.key_back.clone()))? })
+}
--- a/src/bin/cobaltspool-simulator-adapter/wire.rs
+++ b/src/bin/cobaltspool-simulator-adapter/wire.rs
@@ -12,96 +12,164 @@
     pub msgs: Vec<Msg>,
 }
 
+/// One message from the simulator.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Msg {
-    #[serde(rename_all = "kebab-case")]
-    Begin {
-        front: u64,
-        random_seed: u64,
-        profile_data: Box<Profile>,
-    },
-    Directory {
-        r#ref: u64,
-        elements: Vec<Element>,
-    },
-    PeersKnown {
-        front: u64,
-        scope: Scope,
-        #[serde(default)]
-        r#ref: u64,
-    },
-    #[serde(rename_all = "kebab-case")]
-    Query {
-        front: u64,
-        request_id: u64,
-        #[serde(default)]
-        service: usize,
-        #[serde(default)]
-        item: u64,
-        due_us: i64,
-        #[serde(default)]
-        dest: f64,
-        #[serde(default)]
-        repeat: bool,
-        #[serde(default)]
-        passing: bool,
-    },
-    #[serde(rename_all = "kebab-case")]
-    Inbox {
-        front: u64,
-        #[serde(default)]
-        origin_peer: u32,
-        #[serde(default)]
-        msg: String,
-    },
-    #[serde(rename_all = "kebab-case")]
-    Aborted {
-        front: u64,
-        request_id: u64,
-    },
-    #[serde(rename_all = "kebab-case")]
-    Reply {
-        front: u64,
-        request_id: u64,
-        #[serde(default)]
-        copy: u32,
-        server: String,
-        ending: Ending,
-        #[serde(default)]
-        took_us: u64,
-        #[serde(default)]
-        ended: bool,
-        #[serde(default)]
-        note: i64,
-        #[serde(default)]
-        telemetry: Telemetry,
-    },
-    PingResult {
-        front: u64,
-        server: String,
-        ending: Ending,
-        #[serde(default)]
-        telemetry: Telemetry,
-    },
-    Killed {
-        front: u64,
-    },
-    #[serde(rename_all = "kebab-case")]
-    Reminder {
-        front: u64,
-        key_back: String,
-    },
-    #[serde(rename_all = "kebab-case")]
-    AckFirst {
-        front: u64,
-        request_id: u64,
-        #[serde(default)]
-        copy: u32,
-        server: String,
-        #[serde(default)]
-        took_us: u64,
-    },
+    Begin(Begin),
+    Directory(Directory),
+    PeersKnown(PeersKnown),
+    Query(Query),
+    Inbox(Inbox),
+    Aborted(Aborted),
+    Reply(Reply),
+    PingResult(PingResult),
+    Killed(Killed),
+    Reminder(Reminder),
+    AckFirst(AckFirst),
+}
+
+impl Msg {
+    /// The gatekeeper that the message is for; `None` for a server list, which is shared.
+    pub fn front(&self) -> Option<u64> {
+        match self {
+            Self::Directory(_) => None,
+            Self::Begin(message) => Some(message.front),
+            Self::PeersKnown(message) => Some(message.front),
+            Self::Query(message) => Some(message.front),
+            Self::Inbox(message) => Some(message.front),
+            Self::Aborted(message) => Some(message.front),
+            Self::Reply(message) => Some(message.front),
+            Self::PingResult(message) => Some(message.front),
+            Self::Killed(message) => Some(message.front),
+            Self::Reminder(message) => Some(message.front),
+            Self::AckFirst(message) => Some(message.front),
+        }
+    }
+}
+
+/// Starts a gatekeeper.
+#[derive(Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub struct Begin {
+    pub front: u64,
+    pub random_seed: u64,
+    pub profile_data: Box<Profile>,
+}
+
+/// A server list, referred to by later messages.
+#[derive(Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub struct Directory {
+    pub r#ref: u64,
+    pub elements: Vec<Element>,
+}
+
+/// A gatekeeper learns a server list.
+#[derive(Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub struct PeersKnown {
+    pub front: u64,
+    pub scope: Scope,
+    #[serde(default)]
+    pub r#ref: u64,
+}
+
+/// A new call.
+#[derive(Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub struct Query {
+    pub front: u64,
+    pub request_id: u64,
+    #[serde(default)]
+    pub service: usize,
+    #[serde(default)]
+    pub item: u64,
+    pub due_us: i64,
+    #[serde(default)]
+    pub dest: f64,
+    #[serde(default)]
+    pub repeat: bool,
+    #[serde(default)]
+    pub passing: bool,
+}
+
+/// A message from another gatekeeper.
+#[derive(Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub struct Inbox {
+    pub front: u64,
+    #[serde(default)]
+    pub origin_peer: u32,
+    #[serde(default)]
+    pub msg: String,
+}
+
+/// The caller has left.
+#[derive(Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub struct Aborted {
+    pub front: u64,
+    pub request_id: u64,
+}
+
+/// An attempt has ended.
+#[derive(Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub struct Reply {
+    pub front: u64,
+    pub request_id: u64,
+    #[serde(default)]
+    pub copy: u32,
+    pub server: String,
+    pub ending: Ending,
+    #[serde(default)]
+    pub took_us: u64,
+    #[serde(default)]
+    pub ended: bool,
+    #[serde(default)]
+    pub note: i64,
+    #[serde(default)]
+    pub telemetry: Telemetry,
+}
+
+/// The answer to a health check.
+#[derive(Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub struct PingResult {
+    pub front: u64,
+    pub server: String,
+    pub ending: Ending,
+    #[serde(default)]
+    pub telemetry: Telemetry,
+}
+
+/// A gatekeeper has stopped.
+#[derive(Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub struct Killed {
+    pub front: u64,
+}
+
+/// A timer has expired.
+#[derive(Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub struct Reminder {
+    pub front: u64,
+    pub key_back: String,
+}
+
+/// A call is established.
+#[derive(Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub struct AckFirst {
+    pub front: u64,
+    pub request_id: u64,
+    #[serde(default)]
+    pub copy: u32,
+    pub server: String,
+    #[serde(default)]
+    pub took_us: u64,
 }
 
 #[derive(Deserialize, Clone, Copy, PartialEq, Eq)]
@@ -232,7 +300,7 @@
 }
 
 #[derive(Serialize)]
-pub struct Reply {
+pub struct BatchReply {
     pub frame: u64,
     pub actions: Vec<Act>,
 }
--- a/src/commands.rs
+++ b/src/commands.rs
@@ -83,49 +83,59 @@
     all
 }
 
-/// Checks the files.
+/// Checks the files. Returns the text to print and whether they are accepted.
 pub fn check(
-    fronts: &Fronts,
+    frontends: &Fronts,
     ops_file: Option<&PathBuf>,
     node: Option<&str>,
     format: Format,
 ) -> (String, bool) {
-    let refused = sip_report(fronts).filter(|r| r.refused);
-    let configs = match (read(fronts), format) {
-        (Ok(configs), _) => configs,
-        (Err(e), Format::Text) => return (format!("error: {e}\n"), false),
-        (Err(e), Format::Json) => {
-            let said = match refused {
-                Some(report) => json!({"accepted": false, "reports": [report]}),
-                None => json!({"accepted": false, "error": e.to_string()}),
-            };
-            return (said.to_string() + "\n", false);
-        }
+    let configs = match read(frontends) {
+        Ok(configs) => configs,
+        Err(error) => return (config_error(frontends, &error.to_string(), format), false),
     };
-    let mut reports: Vec<Report> = Vec::new();
-    for ceilings in ops_file.iter().flat_map(|_| ceilings(&configs)) {
-        let report = match ops_file.map(|file| sections::read(file, &ceilings, node)) {
-            Some(Ok(ops)) => ops.report,
-            Some(Err(report)) => report,
-            None => continue,
-        };
-        if !reports.contains(&report) {
-            reports.push(report);
-        }
-    }
-    let accepted = !reports.iter().any(|r| r.refused);
+    let reports = ops_reports(&configs, ops_file, node);
+    let accepted = !reports.iter().any(|report| report.refused);
     if format == Format::Json {
         return (json!({"accepted": accepted, "reports": reports}).to_string() + "\n", accepted);
     }
-    let mut out = summary(&configs);
+    let mut text = summary(&configs);
     for report in &reports {
-        out.push_str(&report.render());
+        text.push_str(&report.render());
     }
     if let Some(file) = ops_file {
         let verdict = if accepted { "accepted" } else { "refused" };
-        out.push_str(&format!("{}: {verdict}\n", file.display()));
+        text.push_str(&format!("{}: {verdict}\n", file.display()));
+    }
+    (text, accepted)
+}
+
+/// The output for a configuration that cannot be read; in JSON with the SIP configuration's report, if that was refused.
+fn config_error(frontends: &Fronts, error: &str, format: Format) -> String {
+    if format == Format::Text {
+        return format!("error: {error}\n");
+    }
+    let object = match sip_report(frontends).filter(|report| report.refused) {
+        Some(report) => json!({"accepted": false, "reports": [report]}),
+        None => json!({"accepted": false, "error": error}),
+    };
+    object.to_string() + "\n"
+}
+
+/// The different reports on the operators' file, which is checked against what each configuration permits.
+fn ops_reports(configs: &Configs, ops_file: Option<&PathBuf>, node: Option<&str>) -> Vec<Report> {
+    let mut reports: Vec<Report> = Vec::new();
+    let Some(file) = ops_file else { return reports };
+    for ceilings in ceilings(configs) {
+        let report = match sections::read(file, &ceilings, node) {
+            Ok(ops) => ops.report,
+            Err(report) => report,
+        };
+        if !reports.contains(&report) {
+            reports.push(report);
+        }
     }
-    (out, accepted)
+    reports
 }
 
 fn summary((config, sip): &Configs) -> String {
--- a/src/config_check.rs
+++ b/src/config_check.rs
@@ -1,10 +1,11 @@
-//! The SIP front's configuration as a form: what may stand in it, and which of its figures would break a rule. Findings
-//! are those of the operators' file: all in one go, each with its place and what to write.
+//! Validation of the SIP frontend's configuration: its keys, and values that would break a rule. Findings have the form of
+//! those on the operators' file: all are reported at once, each with its location and a remedy.
 //!
-//! The platform's own configuration is not ours to refuse: unknown keys there are skipped.
+//! The platform's own configuration is not validated here: unknown keys in it are ignored.
 
-use std::collections::HashMap;
+use std::collections::HashSet;
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 
 use serde::Deserialize;
 use serde::de::IgnoredAny;
@@ -12,10 +13,14 @@
 use crate::limits::{MAX_ATTEMPTS, MIN_PAUSE};
 use crate::ops::{self, Finding, Path, Report};
 
-/// The window in which sends to a server that drains must have ended, at most.
+/// Longest time in which sends to a draining server must end, in microseconds.
 const MAX_DRAIN_GRACE: u64 = 250_000;
 /// The longest time that a setting may name, in microseconds: an hour.
 const MAX_TIME: u64 = 3_600_000_000;
+/// Permitted values of SIP's timer T1.
+const T1_RANGE_MS: RangeInclusive<u64> = 1..=60_000;
+/// Permitted values of the time that callers wait.
+const WAIT_RANGE_MS: RangeInclusive<u64> = 1..=3_600_000;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -183,7 +188,7 @@
     _this_node: IgnoredAny,
 }
 
-/// What is wrong with the text of a SIP configuration that came under this name.
+/// The report on a SIP configuration with this file name and text.
 pub fn sip(name: &str, text: &str) -> Report {
     ops::examine(name, text, |value, findings| {
         let faults = findings.len();
@@ -194,126 +199,133 @@
     })
 }
 
+/// Checks the values, each rule in the order of the file.
 fn check(file: &File, findings: &mut Vec<Finding>) {
-    let mut say = |at: Path, rule: &'static str, text: String, remedy: &str| {
-        findings.push(Finding::error(rule, at, text, remedy));
-    };
-    let top = |key: &str| Path::of(key);
-    if u64::from_str_radix(&file.seed, 16).is_err() {
-        say(top("seed"), "seed", "the seed is no hexadecimal number".into(), "write up to 16 hex digits");
+    let mut check = Check { findings };
+    let settings = Path::of("settings");
+    check.top_level(file);
+    check.bounds(&file.settings, &settings);
+    check.rules(&file.settings.rules, &settings.key("rules"));
+    check.times(&file.settings, &settings);
+    check.classes(&file.settings.services, &settings.key("services"));
+    if file.settings.domain.allowed_pools.len() > file.settings.services.len() {
+        let at = settings.key("domain").key("allowed-pools");
+        check.report(at, "order", "there are more lists of pools than classes", "write one list a class");
     }
-    if !file.service.split('.').any(|label| label == "_udp" || label == "_tcp") {
-        let text = "the service names neither _udp nor _tcp, so the way to its servers is not known";
-        say(top("service"), "service", text.into(), "write it as in _sip._udp.pool.lan");
-    }
-    if file.t1_ms.is_some_and(|t| !(1..=60_000).contains(&t)) {
-        say(top("t1_ms"), "range", "T1 of RFC 3261 is 1 to 60000 ms".into(), "write 500, or leave it out");
-    }
-    if file.wait_ms.is_some_and(|w| !(1..=3_600_000).contains(&w)) {
-        say(
-            top("wait_ms"),
-            "range",
-            "callers wait 1 to 3600000 ms".into(),
-            "write how long they wait at most",
-        );
-    }
-    let settings = top("settings");
-    let (limits, rules, domain) = (&file.settings.ceilings, &file.settings.rules, &file.settings.domain);
-    let ceilings = settings.key("ceilings");
-    if !(1..=MAX_ATTEMPTS).contains(&limits.max_attempts) {
-        let text = format!("{} attempts, and a call may have {MAX_ATTEMPTS} at most", limits.max_attempts);
-        say(ceilings.key("max-attempts"), "attempts", text, "write 1 to 4");
-    }
-    if domain.clear_wait_us < MIN_PAUSE {
-        let text =
-            format!("a release wait of {} us, and the rule asks for {MIN_PAUSE}", domain.clear_wait_us);
-        say(settings.key("domain").key("clear-wait-us"), "pause", text, "write 500000 or more");
-    }
-    let at = settings.key("rules");
-    if rules.drain_grace_us > MAX_DRAIN_GRACE {
-        let text = format!("sends to a draining server must end within {MAX_DRAIN_GRACE} us");
-        say(at.key("drain-grace-us"), "drain", text, "write 250000 or less");
-    }
-    if !(rules.start_capacity > 0.0 && rules.start_capacity <= 1.0) {
-        say(
-            at.key("start-capacity"),
-            "range",
-            "a share of capacity is over 0 and up to 1".into(),
-            "write as in 0.29",
-        );
-    }
-    if !(rules.tip_multiple > 0.0 && rules.tip_multiple.is_finite()) {
-        say(at.key("tip-multiple"), "range", "the multiple is over 0".into(), "write as in 2.0");
+}
+
+struct Check<'a> {
+    findings: &'a mut Vec<Finding>,
+}
+
+impl Check<'_> {
+    fn report(&mut self, at: Path, rule: &'static str, text: impl Into<String>, remedy: &str) {
+        self.findings.push(Finding::error(rule, at, text, remedy));
     }
-    if rules.fall_us == 0 {
-        say(
-            at.key("fall-us"),
-            "zero",
-            "a server that falls at once could be sent nothing".into(),
-            "write as in 1000000",
-        );
+
+    fn top_level(&mut self, file: &File) {
+        if u64::from_str_radix(&file.seed, 16).is_err() {
+            let text = "the seed is no hexadecimal number";
+            self.report(Path::of("seed"), "seed", text, "write up to 16 hex digits");
+        }
+        if !file.service.split('.').any(|label| label == "_udp" || label == "_tcp") {
+            let text = "the service names neither _udp nor _tcp, so the way to its servers is not known";
+            self.report(Path::of("service"), "service", text, "write it as in _sip._udp.pool.lan");
+        }
+        if file.t1_ms.is_some_and(|t1| !T1_RANGE_MS.contains(&t1)) {
+            let text = "T1 of RFC 3261 is 1 to 60000 ms";
+            self.report(Path::of("t1_ms"), "range", text, "write 500, or leave it out");
+        }
+        if file.wait_ms.is_some_and(|wait| !WAIT_RANGE_MS.contains(&wait)) {
+            let text = "callers wait 1 to 3600000 ms";
+            self.report(Path::of("wait_ms"), "range", text, "write how long they wait at most");
+        }
     }
-    let times = [
-        (ceilings.key("dial-timeout-us"), limits.dial_timeout_us),
-        (ceilings.key("max-retry-after-us"), limits.max_retry_after_us),
-        (settings.key("domain").key("clear-wait-us"), domain.clear_wait_us),
-        (settings.key("domain").key("resend-us"), domain.resend_us),
-        (at.key("warm-up-us"), rules.warm_up_us),
-        (at.key("fall-us"), rules.fall_us),
-        (settings.key("tick-us"), file.settings.tick_us),
-    ];
-    for (at, time) in times.into_iter().filter(|(_, time)| *time > MAX_TIME) {
-        say(
-            at,
-            "range",
-            format!("{time} us is more than an hour"),
-            "write it in microseconds, at most 3600000000",
-        );
+
+    /// Checks the number of attempts and the release wait.
+    fn bounds(&mut self, settings: &Settings, at: &Path) {
+        let attempts = settings.ceilings.max_attempts;
+        if !(1..=MAX_ATTEMPTS).contains(&attempts) {
+            let text = format!("{attempts} attempts, and a call may have {MAX_ATTEMPTS} at most");
+            self.report(at.key("ceilings").key("max-attempts"), "attempts", text, "write 1 to 4");
+        }
+        let release_wait = settings.domain.clear_wait_us;
+        if release_wait < MIN_PAUSE {
+            let text = format!("a release wait of {release_wait} us, and the rule asks for {MIN_PAUSE}");
+            self.report(at.key("domain").key("clear-wait-us"), "pause", text, "write 500000 or more");
+        }
     }
-    if limits.dial_timeout_us == 0 {
-        say(
-            ceilings.key("dial-timeout-us"),
-            "zero",
-            "no connection comes up in no time".into(),
-            "write as in 500000",
-        );
+
+    fn rules(&mut self, rules: &Rules, at: &Path) {
+        if rules.drain_grace_us > MAX_DRAIN_GRACE {
+            let text = format!("sends to a draining server must end within {MAX_DRAIN_GRACE} us");
+            self.report(at.key("drain-grace-us"), "drain", text, "write 250000 or less");
+        }
+        if !(rules.start_capacity > 0.0 && rules.start_capacity <= 1.0) {
+            let text = "a share of capacity is over 0 and up to 1";
+            self.report(at.key("start-capacity"), "range", text, "write as in 0.29");
+        }
+        if !(rules.tip_multiple > 0.0 && rules.tip_multiple.is_finite()) {
+            self.report(at.key("tip-multiple"), "range", "the multiple is over 0", "write as in 2.0");
+        }
+        if rules.fall_us == 0 {
+            let text = "a server that falls at once could be sent nothing";
+            self.report(at.key("fall-us"), "zero", text, "write as in 1000000");
+        }
     }
-    let at = settings.key("services");
-    if file.settings.services.is_empty() {
-        say(at.clone(), "zero", "without a class there are no calls".into(), "write one class or more");
+
+    fn times(&mut self, settings: &Settings, at: &Path) {
+        let (ceilings, domain, rules) = (at.key("ceilings"), at.key("domain"), at.key("rules"));
+        let dial_timeout = settings.ceilings.dial_timeout_us;
+        let times = [
+            (ceilings.key("dial-timeout-us"), dial_timeout),
+            (ceilings.key("max-retry-after-us"), settings.ceilings.max_retry_after_us),
+            (domain.key("clear-wait-us"), settings.domain.clear_wait_us),
+            (domain.key("resend-us"), settings.domain.resend_us),
+            (rules.key("warm-up-us"), settings.rules.warm_up_us),
+            (rules.key("fall-us"), settings.rules.fall_us),
+            (at.key("tick-us"), settings.tick_us),
+        ];
+        for (at, time) in times.into_iter().filter(|(_, time)| *time > MAX_TIME) {
+            let text = format!("{time} us is more than an hour");
+            self.report(at, "range", text, "write it in microseconds, at most 3600000000");
+        }
+        if dial_timeout == 0 {
+            let text = "no connection comes up in no time";
+            self.report(ceilings.key("dial-timeout-us"), "zero", text, "write as in 500000");
+        }
     }
-    let mut first: HashMap<&str, usize> = HashMap::new();
-    for (n, class) in file.settings.services.iter().enumerate() {
-        let at = at.index(n);
-        if first.insert(&class.name, n).is_some() {
-            say(
-                at.key("name"),
-                "name",
-                format!("two classes have the name '{}'", class.name),
-                "give each its own",
-            );
+
+    fn classes(&mut self, classes: &[Service], at: &Path) {
+        if classes.is_empty() {
+            let text = "without a class there are no calls";
+            self.report(at.clone(), "zero", text, "write one class or more");
         }
+        let mut names = HashSet::new();
+        for (n, class) in classes.iter().enumerate() {
+            let at = at.index(n);
+            if !names.insert(class.name.as_str()) {
+                let text = format!("two classes have the name '{}'", class.name);
+                self.report(at.key("name"), "name", text, "give each its own");
+            }
+            self.class(class, &at);
+        }
+    }
+
+    fn class(&mut self, class: &Service, at: &Path) {
         if class.hard_limit_us == 0 || class.hard_limit_us > MAX_TIME {
             let text = "callers of a class wait more than nothing and up to an hour";
-            say(at.key("hard-limit-us"), "range", text.into(), "write microseconds, as in 9000000");
+            self.report(at.key("hard-limit-us"), "range", text, "write microseconds, as in 9000000");
         } else if class.aim_us > class.hard_limit_us {
             let text = "the aim is later than the caller waits, so no call could miss it";
-            say(at.key("aim-us"), "order", text.into(), "write hard-limit-us or less");
+            self.report(at.key("aim-us"), "order", text, "write hard-limit-us or less");
         }
         if !(class.worth >= 0.0 && class.worth.is_finite()) {
-            say(at.key("worth"), "range", "a call is worth 0 or more".into(), "write as in 1.0");
+            self.report(at.key("worth"), "range", "a call is worth 0 or more", "write as in 1.0");
         }
         if !(0.0..=1.0).contains(&class.late_worth) {
-            say(
-                at.key("late-worth"),
-                "range",
-                "a late call is worth a share, 0 to 1".into(),
-                "write as in 0.25",
-            );
+            let text = "a late call is worth a share, 0 to 1";
+            self.report(at.key("late-worth"), "range", text, "write as in 0.25");
         }
     }
-    if domain.allowed_pools.len() > file.settings.services.len() {
-        let text = "there are more lists of pools than classes";
-        say(settings.key("domain").key("allowed-pools"), "order", text.into(), "write one list a class");
-    }
 }
--- a/src/fleet/runtime/streams.rs
+++ b/src/fleet/runtime/streams.rs
@@ -2,50 +2,55 @@
 
 use super::*;
 
+/// Time to wait after a failed accept, for example for want of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+
 impl Member {
+    /// Accepts streams from other members, up to [`MAX_INBOUND_STREAMS`] at a time.
     pub(super) async fn accept(self: &Rc<Self>, tcp: &TcpListener) {
         let places = Rc::new(());
         loop {
-            let Ok((mut stream, _)) = tcp.accept().await else {
-                sleep(Duration::from_millis(20)).await;
+            let Ok((stream, _)) = tcp.accept().await else {
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
             if Rc::strong_count(&places) > MAX_INBOUND_STREAMS {
                 self.count(|d| d.streams += 1);
                 continue;
             }
-            let (member, place) = (self.clone(), places.clone());
-            tokio::task::spawn_local(async move {
-                // A peer that sends a message first goes on sending messages, under a bound of its own.
-                let first = timeout(stream::WHOLE, stream::read(&mut stream, MAX_ENVELOPE_BYTES)).await;
-                let Ok(Ok(Some(bytes))) = first else {
-                    if matches!(first, Ok(Ok(None))) {
-                        member.count(|d| d.oversized += 1);
-                    }
-                    return;
-                };
-                if codec::is_envelope(&bytes) {
-                    drop(place);
-                    return member.receive_messages(stream, bytes).await;
-                }
-                let whole = async {
-                    let Some(frame) = member.decode(&bytes, MAX_STREAM_BYTES) else { return Ok(()) };
-                    let answer = {
-                        let mut membership = member.membership.borrow_mut();
-                        membership.is_active().then(|| membership.table_frame(member.now()))
-                    };
-                    member.merge_table(frame);
-                    match answer {
-                        Some(answer) => {
-                            stream::write(&mut stream, &codec::encode(&answer, &member.set.key)).await
-                        }
-                        None => Ok(()),
-                    }
-                };
-                // An exchange that fails or takes too long is made up for by the next.
-                let _ = timeout(stream::WHOLE, whole).await;
-                drop(place);
-            });
+            tokio::task::spawn_local(self.clone().serve_stream(stream, places.clone()));
+        }
+    }
+
+    /// Serves an accepted stream: an exchange of tables, or a peer's messages. `place` counts it among the inbound streams.
+    async fn serve_stream(self: Rc<Self>, mut stream: TcpStream, place: Rc<()>) {
+        // A peer whose first frame is a message goes on sending messages, under a bound of its own.
+        let first = timeout(stream::WHOLE, stream::read(&mut stream, MAX_ENVELOPE_BYTES)).await;
+        let Ok(Ok(Some(bytes))) = first else {
+            if matches!(first, Ok(Ok(None))) {
+                self.count(|d| d.oversized += 1);
+            }
+            return;
+        };
+        if codec::is_envelope(&bytes) {
+            drop(place);
+            return self.receive_messages(stream, bytes).await;
+        }
+        // An exchange that fails or takes too long is made up for by the next.
+        let _ = timeout(stream::WHOLE, self.answer_exchange(&mut stream, &bytes)).await;
+    }
+
+    /// Merges a peer's table and answers with this member's own, as it was before.
+    async fn answer_exchange(self: &Rc<Self>, stream: &mut TcpStream, bytes: &[u8]) -> io::Result<()> {
+        let Some(frame) = self.decode(bytes, MAX_STREAM_BYTES) else { return Ok(()) };
+        let answer = {
+            let mut membership = self.membership.borrow_mut();
+            membership.is_active().then(|| membership.table_frame(self.now()))
+        };
+        self.merge_table(frame);
+        match answer {
+            Some(answer) => stream::write(stream, &codec::encode(&answer, &self.set.key)).await,
+            None => Ok(()),
         }
     }
 
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -1,4 +1,4 @@
-//! The `fleet` section as it stands in the operators' file, its checks, and what holds for this process.
+//! The `fleet` section of the operators' file, its checks, and the resulting settings of this process.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,15 +14,19 @@
 use crate::ops::units::Span;
 use crate::ops::{self, Finding, Path, decode};
 
-/// From one probe to the next, where the file does not say.
+/// The default probe interval.
 const PERIOD: Micros = 1_000_000;
-/// A period is at least ...
+/// The lease is this many periods unless the section says otherwise.
+const DEFAULT_LEASE_PERIODS: u64 = 4;
+/// The shortest lease in periods.
+const MIN_LEASE_PERIODS: u64 = 2;
+/// The shortest probe interval.
 const MIN_PERIOD: Micros = 100_000;
-/// ... and at most this.
+/// The longest probe interval.
 const MAX_PERIOD: Micros = 60_000_000;
-/// The dead are remembered for so long, where the file does not say.
+/// How long failed members are listed by default.
 const MEMORY: Micros = 3_600_000_000;
-/// A key has at least so many bytes.
+/// Minimum size of a key in bytes.
 const KEY_BYTES: u64 = 16;
 
 /// The section. One file may serve all members: `serve --node ID` says which one a process is, and its address and zone are
@@ -101,19 +105,19 @@
     pub trust_disk: bool,
 }
 
-/// Which part this process has in a fleet.
+/// The role of this process in a fleet.
 #[derive(Clone, Debug, Default)]
 pub enum Part {
-    /// There is no such section.
+    /// The file has no `fleet` section.
     #[default]
     None,
-    /// The section serves several members, and neither it nor the command line says which one this is.
+    /// The section lists several members, and neither it nor the command line names this one.
     Nameless,
     /// This member.
     Member(Box<Fleet>),
 }
 
-/// The section while the file is being read.
+/// The section while the file is read.
 pub struct Draft<'a> {
     node: Option<&'a str>,
     section: Option<Section>,
@@ -121,12 +125,12 @@
 }
 
 impl<'a> Draft<'a> {
-    /// Nothing yet; the node is the one that the command line names.
+    /// An empty draft; `node` is the id from the command line.
     pub fn new(node: Option<&'a str>) -> Draft<'a> {
         Draft { node, section: None, part: Part::None }
     }
 
-    /// What holds, once the file was accepted.
+    /// The settings, once the file is accepted.
     pub fn part(self) -> Part {
         self.part
     }
@@ -199,62 +203,25 @@
         }
     }
 
+    /// The settings of this member; `None` if its id, its address or its key is missing or invalid.
     fn fleet(&mut self, section: Section, node: Option<&str>) -> Option<Fleet> {
         let named = node.and_then(|node| section.members.get(node)).cloned();
-        let id = match node.or(section.id.as_deref()) {
-            Some(text) => self.id(self.at.key("id"), text),
-            None if !section.members.is_empty() => None,
-            None => {
-                let at = self.at.key("id");
-                self.wrong(
-                    "id",
-                    at,
-                    "nothing says which member this is",
-                    "add id, or start with `serve --node ID`",
-                );
-                None
-            }
-        };
-        let address = named.as_ref().map(|m| m.address).or(section.address);
+        let id = self.own_id(&section, node);
+        let address = named.as_ref().map(|member| member.address).or(section.address);
         if address.is_none() && id.is_some() {
-            let remedy = "add address, or this member's line under members, as in \"127.0.0.1:7401\"";
-            self.wrong(
-                "address",
-                self.at.key("address"),
-                "nothing says where this member is reached",
-                remedy,
-            );
-        }
-        let zone = named.and_then(|m| m.zone).or(section.zone.clone()).unwrap_or_default();
-        self.zone(self.at.key("zone"), &zone);
-        for (name, member) in &section.members {
-            self.zone(
-                self.at.key("members").key(name).key("zone"),
-                member.zone.as_deref().unwrap_or_default(),
-            );
-        }
-        let period = section.period.map_or(PERIOD, |p| p.0);
-        if !(MIN_PERIOD..=MAX_PERIOD).contains(&period) {
-            let at = self.at.key("period");
-            self.wrong("period", at, "a period is 100 ms to 1 min", "write one between, as in \"1s\"");
-        }
-        let lease = section.lease.map_or(period * 4, |l| l.0);
-        if section.lease.is_some() && !(period * 2..=MAX_PERIOD).contains(&lease) {
-            let at = self.at.key("lease");
-            self.wrong("lease", at, "a lease is 2 periods to 1 min", "write one between, as in \"4s\"");
+            self.report_missing_address();
         }
+        let zone = named.and_then(|member| member.zone).or(section.zone.clone()).unwrap_or_default();
+        self.check_zones(&zone, &section);
+        let period = self.period(&section);
+        let lease = self.lease(&section, period);
         let voters = self.voters(&section);
         if id.as_ref().is_some_and(|id| voters.contains(id)) && section.state.is_none() {
-            let remedy = "add state, a folder of its own that survives restarts, as in \"state/fleet\"";
-            self.wrong(
-                "state",
-                self.at.key("state"),
-                "this member votes and has no folder for its log",
-                remedy,
-            );
+            self.report_missing_state();
         }
         let key = self.key(&section, address);
-        let members = section.members.iter().map(|(id, m)| (id.clone(), m.address)).collect::<Vec<_>>();
+        let members: Vec<_> =
+            section.members.iter().map(|(id, member)| (id.clone(), member.address)).collect();
         let known = self.ids("members", members);
         let via = self.ids("via", section.via.clone()).into_iter().collect();
         Some(Fleet {
@@ -266,7 +233,7 @@
             via,
             key: key?,
             period,
-            memory: section.memory.map_or(MEMORY, |m| m.0),
+            memory: section.memory.map_or(MEMORY, |memory| memory.0),
             voters,
             state: section.state,
             lease,
@@ -274,6 +241,55 @@
         })
     }
 
+    /// The id of this member: the command line's, or else the section's.
+    fn own_id(&mut self, section: &Section, node: Option<&str>) -> Option<MemberId> {
+        let at = self.at.key("id");
+        if let Some(text) = node.or(section.id.as_deref()) {
+            return self.id(at, text);
+        }
+        if section.members.is_empty() {
+            let remedy = "add id, or start with `serve --node ID`";
+            self.wrong("id", at, "nothing says which member this is", remedy);
+        }
+        None
+    }
+
+    fn report_missing_address(&mut self) {
+        let remedy = "add address, or this member's line under members, as in \"127.0.0.1:7401\"";
+        self.wrong("address", self.at.key("address"), "nothing says where this member is reached", remedy);
+    }
+
+    fn report_missing_state(&mut self) {
+        let remedy = "add state, a folder of its own that survives restarts, as in \"state/fleet\"";
+        self.wrong("state", self.at.key("state"), "this member votes and has no folder for its log", remedy);
+    }
+
+    fn check_zones(&mut self, own: &str, section: &Section) {
+        self.zone(self.at.key("zone"), own);
+        for (name, member) in &section.members {
+            let at = self.at.key("members").key(name).key("zone");
+            self.zone(at, member.zone.as_deref().unwrap_or_default());
+        }
+    }
+
+    fn period(&mut self, section: &Section) -> Micros {
+        let period = section.period.map_or(PERIOD, |period| period.0);
+        if !(MIN_PERIOD..=MAX_PERIOD).contains(&period) {
+            let at = self.at.key("period");
+            self.wrong("period", at, "a period is 100 ms to 1 min", "write one between, as in \"1s\"");
+        }
+        period
+    }
+
+    fn lease(&mut self, section: &Section, period: Micros) -> Micros {
+        let lease = section.lease.map_or(period * DEFAULT_LEASE_PERIODS, |lease| lease.0);
+        if section.lease.is_some() && !(period * MIN_LEASE_PERIODS..=MAX_PERIOD).contains(&lease) {
+            let at = self.at.key("lease");
+            self.wrong("lease", at, "a lease is 2 periods to 1 min", "write one between, as in \"4s\"");
+        }
+        lease
+    }
+
     fn voters(&mut self, section: &Section) -> Vec<MemberId> {
         let at = self.at.key("voters");
         let mut voters = Vec::new();
--- a/src/fleet/status.rs
+++ b/src/fleet/status.rs
@@ -185,50 +185,48 @@
         }
     }
 
-    /// For people.
+    /// The status as text.
     pub fn render(&self) -> String {
         let live = self.members.iter().filter(|m| m.state == "alive" || m.state == "suspect").count();
-        let mut out = format!(
-            "{}: {live} of {} members live, {}\n",
-            self.id,
-            self.members.len(),
-            if self.settled { "settled" } else { "not settled" }
-        );
+        let settled = if self.settled { "settled" } else { "not settled" };
+        let mut text = format!("{}: {live} of {} members live, {settled}\n", self.id, self.members.len());
         if let Some(duplicate) = &self.duplicate {
-            let what = if self.is_standby { "stands by for it" } else { "is the newer start" };
-            out.push_str(&format!(
-                "another process runs as {} at {}; this one {what}\n",
-                self.id, duplicate.address
-            ));
-        }
-        let dropped = serde_json::to_value(self.dropped).unwrap_or_default();
-        let causes: Vec<String> = dropped
-            .as_object()
-            .into_iter()
-            .flatten()
-            .filter(|(_, n)| n.as_u64() != Some(0))
-            .map(|(cause, n)| format!("{n} {cause}"))
-            .collect();
-        if !causes.is_empty() {
-            out.push_str(&format!("frames dropped: {}\n", causes.join(", ")));
-        }
-        if let Some(majority) = self.majority {
-            out.push_str(if majority {
-                "a majority of the voters is at work\n"
-            } else {
-                "no majority of the voters\n"
-            });
+            text += &self.render_duplicate(duplicate);
         }
+        text += &self.render_dropped();
+        text += match self.majority {
+            Some(true) => "a majority of the voters is at work\n",
+            Some(false) => "no majority of the voters\n",
+            None => "",
+        };
         if let Some(voter) = &self.voter {
-            let leader = voter.leader.as_deref().unwrap_or("nobody known");
-            let trouble = voter.trouble.as_ref().map(|t| format!(": {t}")).unwrap_or_default();
-            out.push_str(&format!(
-                "voter: {}, {}, term {}, led by {leader}{trouble}\n",
-                voter.standing, voter.role, voter.term
-            ));
+            text += &render_voter(voter);
         }
-        out + &table(&self.members)
+        text + &table(&self.members)
     }
+
+    fn render_duplicate(&self, duplicate: &DuplicateProcess) -> String {
+        let role = if self.is_standby { "stands by for it" } else { "is the newer start" };
+        format!("another process runs as {} at {}; this one {role}\n", self.id, duplicate.address)
+    }
+
+    /// The causes for which frames were dropped; empty if none was.
+    fn render_dropped(&self) -> String {
+        let dropped = serde_json::to_value(self.dropped).unwrap_or_default();
+        let counts = dropped.as_object().into_iter().flatten();
+        let counts = counts.filter(|(_, count)| count.as_u64() != Some(0));
+        let causes: Vec<String> = counts.map(|(cause, count)| format!("{count} {cause}")).collect();
+        if causes.is_empty() {
+            return String::new();
+        }
+        format!("frames dropped: {}\n", causes.join(", "))
+    }
+}
+
+fn render_voter(voter: &Voter) -> String {
+    let leader = voter.leader.as_deref().unwrap_or("nobody known");
+    let trouble = voter.trouble.as_ref().map(|text| format!(": {text}")).unwrap_or_default();
+    format!("voter: {}, {}, term {}, led by {leader}{trouble}\n", voter.standing, voter.role, voter.term)
 }
 
 /// Owners as a table for people.
--- a/src/limits/file.rs
+++ b/src/limits/file.rs
@@ -149,6 +149,7 @@
 /// Bounds of the advice when to come back.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
+#[schemars(rename = "ComeBack")] // the published schema keeps its names
 pub struct RetryAfterBounds {
     /// Never sooner.
     pub least: Span,
--- a/src/main.rs
+++ b/src/main.rs
@@ -26,45 +26,40 @@
     // Fail points of test builds; the macro and this are nothing elsewhere.
     #[cfg(feature = "faults")]
     let _faults = fail::FailScenario::setup();
-    let print = |(text, well): (String, bool)| {
-        print!("{text}");
-        if well { ExitCode::SUCCESS } else { ExitCode::FAILURE }
-    };
-    let done = match cli::parser().run() {
-        Task::Serve(fronts, ops, node, log, door) => {
-            start(&fronts, ops.as_deref(), node.as_deref(), log, door)
-        }
-        Task::Version => {
-            println!("cobaltspool {}", env!("CARGO_PKG_VERSION"));
-            Ok(())
-        }
-        Task::CheckConfig(fronts, ops, node, format) => {
-            return print(commands::check(&fronts, ops.as_ref(), node.as_deref(), format));
+    match run(cli::parser().run()) {
+        Ok(code) => code,
+        Err(error) => {
+            eprintln!("cobaltspool: {error}");
+            ExitCode::FAILURE
         }
-        Task::Fleet(question, door, format) => {
-            return match address_of(&door) {
-                Ok(door) => fleet::ask::ask(question, door, format),
-                Err(e) => {
-                    eprintln!("cobaltspool: {e}");
-                    ExitCode::FAILURE
-                }
-            };
+    }
+}
+
+/// Carries out what the command line asks for.
+fn run(task: Task) -> Result<ExitCode> {
+    match task {
+        Task::Serve(frontends, ops, node, log, address) => {
+            start(&frontends, ops.as_deref(), node.as_deref(), log, address)?;
         }
-        Task::Explain(fronts, ops, asked, format) => {
-            return print(commands::explain(&fronts, &ops, &asked, format));
+        Task::Version => println!("cobaltspool {}", env!("CARGO_PKG_VERSION")),
+        Task::Schema => println!("{}", sections::schema()),
+        Task::CheckConfig(frontends, ops, node, format) => {
+            return Ok(print_report(commands::check(&frontends, ops.as_ref(), node.as_deref(), format)));
         }
-        Task::Schema => {
-            println!("{}", sections::schema());
-            Ok(())
+        Task::Explain(frontends, ops, call, format) => {
+            return Ok(print_report(commands::explain(&frontends, &ops, &call, format)));
         }
-    };
-    match done {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("cobaltspool: {e}");
-            ExitCode::FAILURE
+        Task::Fleet(query, address, format) => {
+            return Ok(fleet::ask::ask(query, address_of(&address)?, format));
         }
     }
+    Ok(ExitCode::SUCCESS)
+}
+
+/// Prints a command's report; the exit code says whether it found faults.
+fn print_report((text, is_ok): (String, bool)) -> ExitCode {
+    print!("{text}");
+    if is_ok { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
 /// Reads the operators' file, if there is one, against what each front's installation permits, in the fronts' order.
--- a/src/sip/clients.rs
+++ b/src/sip/clients.rs
@@ -1,4 +1,4 @@
-//! The callers' side: INVITEs in, their answers, and the dialogs that they open.
+//! The client side of SIP: incoming INVITEs, their responses and the dialogs that they open.
 
 use std::rc::Rc;
 
@@ -15,16 +15,16 @@
 use super::transport::Peer;
 use super::{ALLOW, Owner, ServerKey, ServerTransaction, SipFrontend, note_source};
 
-/// What is remembered of a call's caller for as long as the call is open or stands.
+/// The client of a call, kept while the call is open or established.
 pub(super) struct Caller {
     key: ServerKey,
     pub(super) request: Rc<Message>,
-    /// Its class's place in the settings.
+    /// Index of its class in the settings.
     pub(super) class: usize,
     peer: Peer,
     tag: String,
     due: Micros,
-    /// What the last server said that turned the call down.
+    /// Status code of the last server that rejected the call.
     pub(super) last_code: Option<u16>,
     /// Content-Type of the server's description.
     pub(super) answer_type: Option<String>,
@@ -35,8 +35,42 @@
     over: bool,
 }
 
+const STATUS_OK: u16 = 200;
+const STATUS_BAD_REQUEST: u16 = 400;
+const STATUS_NOT_FOUND: u16 = 404;
+const STATUS_METHOD_NOT_ALLOWED: u16 = 405;
+const STATUS_BAD_EXTENSION: u16 = 420;
+const STATUS_NO_SUCH_CALL: u16 = 481;
+const STATUS_LOOP_DETECTED: u16 = 482;
+const STATUS_TOO_MANY_HOPS: u16 = 483;
+const STATUS_NOT_ACCEPTABLE: u16 = 488;
+const STATUS_SERVICE_UNAVAILABLE: u16 = 503;
+/// The pool of a call that names none.
+const ANY_POOL: i64 = -1;
+const MICROS_PER_SECOND: u64 = 1_000_000;
+
+/// Whom a call is for.
+struct CallTarget {
+    class: usize,
+    number: Number,
+    dialled: Box<str>,
+    pool: PoolId,
+}
+
+/// How often a request may still be forwarded; `None` if it does not say.
+fn hops_left(request: &Message) -> Option<u32> {
+    request.get("Max-Forwards").and_then(|hops| hops.trim().parse().ok())
+}
+
+/// What identifies a call across repeated requests: the first part of Session-ID (RFC 7989), which the client keeps when it
+/// calls again, or the Call-ID.
+fn session_name(request: &Message) -> &str {
+    let session = request.get("Session-ID").and_then(|s| s.split(';').next());
+    session.or(request.get("Call-ID")).unwrap_or_default().trim()
+}
+
 impl SipFrontend {
-    /// Takes a request that is well-formed.
+    /// Handles a well-formed request.
     pub(super) fn request(&mut self, from: Peer, mut message: Message) {
         let peer = note_source(&mut message, from);
         let method = message.method().unwrap_or_default().to_string();
@@ -65,29 +99,43 @@
         let transaction =
             ServerTransaction { machine, peer, request: request.clone(), last: Bytes::new(), call: None };
         self.server_txns.insert(key.clone(), transaction);
-        let hops = request.get("Max-Forwards").and_then(|m| m.trim().parse::<u32>().ok());
-        let code = match (method.as_str(), request.tag("To")) {
-            _ if merged => 482,
-            (_, Some(_)) => return self.in_dialog(&key, &request),
-            ("CANCEL", None) => return self.cancelled(&key, &invite),
-            ("INVITE", None) if request.get("Require").is_some() => {
-                let mut response = self.reply(&request, 420);
-                response.add("Unsupported", request.get("Require").unwrap_or_default());
-                self.respond(&key, response);
-                return;
-            }
-            ("INVITE", None) if hops == Some(0) => 483,
-            ("INVITE", None) => return self.invited(key, request),
-            ("OPTIONS", None) if !self.driver.is_ready() => 503,
-            ("OPTIONS", None) => 200,
-            ("BYE", None) => 481,
-            _ => 405,
+        if merged {
+            return self.respond_with(&key, &request, STATUS_LOOP_DETECTED);
+        }
+        self.handle_new_request(key, &invite, request);
+    }
+
+    /// Handles a request that has just got its server transaction.
+    fn handle_new_request(&mut self, key: ServerKey, invite: &ServerKey, request: Rc<Message>) {
+        if request.tag("To").is_some() {
+            return self.in_dialog(&key, &request);
+        }
+        let status = match request.method().unwrap_or_default() {
+            "CANCEL" => return self.cancelled(&key, invite),
+            "INVITE" if request.get("Require").is_some() => return self.reject_extensions(&key, &request),
+            "INVITE" if hops_left(&request) == Some(0) => STATUS_TOO_MANY_HOPS,
+            "INVITE" => return self.invited(key, request),
+            "OPTIONS" if !self.driver.is_ready() => STATUS_SERVICE_UNAVAILABLE,
+            "OPTIONS" => STATUS_OK,
+            "BYE" => STATUS_NO_SUCH_CALL,
+            _ => STATUS_METHOD_NOT_ALLOWED,
         };
-        let response = self.reply(&request, code);
-        self.respond(&key, response);
+        self.respond_with(&key, &request, status);
+    }
+
+    fn respond_with(&mut self, key: &ServerKey, request: &Message, status: u16) {
+        let response = self.reply(request, status);
+        self.respond(key, response);
+    }
+
+    /// Rejects a request that requires extensions; none is supported.
+    fn reject_extensions(&mut self, key: &ServerKey, request: &Message) {
+        let mut response = self.reply(request, STATUS_BAD_EXTENSION);
+        response.add("Unsupported", request.get("Require").unwrap_or_default());
+        self.respond(key, response);
     }
 
-    /// The same request by another way (§8.2.2.2).
+    /// Whether the same request has arrived by another path (§8.2.2.2).
     fn is_merged(&self, request: &Message) -> bool {
         let same = |other: &Message| {
             other.get("Call-ID") == request.get("Call-ID")
@@ -100,50 +148,38 @@
     fn reply(&mut self, request: &Message, code: u16) -> Message {
         let tag = self.new_name();
         let mut response = Message::response(request, code, Some(&tag));
-        if matches!(code, 200 | 405) {
+        if matches!(code, STATUS_OK | STATUS_METHOD_NOT_ALLOWED) {
             response.add("Allow", ALLOW);
         }
-        if code == 503 {
+        if code == STATUS_SERVICE_UNAVAILABLE {
             response.add("Retry-After", "1"); // seconds, the least that can be said
         }
         response
     }
 
-    /// A new call.
+    /// Starts a new call, or rejects an INVITE that does not describe one.
     fn invited(&mut self, key: ServerKey, request: Rc<Message>) {
         let now = clock::now();
         let trying = Message::response(&request, 100, None);
         self.respond(&key, trying);
-        let (user, _, params) = uri_parts(request.uri().unwrap_or_default());
-        let value = |name: &str| param(&format!(";{params}"), name).map(str::to_string);
-        let class = match value("class") {
-            Some(name) => self.classes.iter().position(|c| *c == name),
-            None => Some(0),
-        };
-        let fault = if request.get("Contact").is_none() {
-            Some(400)
-        } else if user.is_none_or(str::is_empty) {
-            Some(404)
-        } else if class.is_none() {
-            Some(488)
-        } else {
-            None
-        };
-        let (Some(user), Some(class), None) = (user, class, fault) else {
-            let response = self.reply(&request, fault.unwrap_or(400));
-            self.respond(&key, response);
-            return;
+        let target = match self.call_target(&request) {
+            Ok(target) => target,
+            Err(status) => return self.respond_with(&key, &request, status),
         };
-        let expires = request.get("Expires").and_then(|e| e.trim().parse::<u64>().ok());
-        let left = expires.map_or(self.wait, |s| s.saturating_mul(1_000_000).min(self.wait));
-        let pool = value("pool").and_then(|p| p.parse().ok()).unwrap_or(-1);
+        let time_left = self.time_left(&request);
         self.next_call += 1;
         let call = CallId(self.next_call);
-        let (number, dialled) = (fold(user), user.into());
-        let description = request.body.clone();
-        // Session-ID (RFC 7989) stays the same where a call is sent again, its first part by the caller's word.
-        let session = request.get("Session-ID").and_then(|s| s.split(';').next());
-        let name = session.or(request.get("Call-ID")).unwrap_or_default().trim().into();
+        let setup = SetupRequest {
+            call,
+            wire_id: session_name(&request).into(),
+            class: target.class,
+            number: target.number,
+            dialled_number: target.dialled,
+            first_choice: target.pool,
+            time_left,
+            is_redial: false,
+            description: request.body.clone(),
+        };
         let tag = self.new_name();
         let Some(transaction) = self.server_txns.get_mut(&key) else { return };
         transaction.call = Some(call);
@@ -151,9 +187,9 @@
             peer: transaction.peer,
             key,
             request,
-            class,
+            class: target.class,
             tag,
-            due: now + left,
+            due: now + time_left,
             last_code: None,
             answer_type: None,
             dialog: None,
@@ -162,19 +198,29 @@
             over: false,
         };
         self.callers.insert(call, caller);
-        let (first_choice, again) = (PoolId(pool), false);
-        let set_up = SetupRequest {
-            call,
-            wire_id: name,
-            class,
-            number,
-            dialled_number: dialled,
-            first_choice,
-            time_left: left,
-            is_redial: again,
-            description,
+        self.feed(Input::SetupRequested(setup));
+    }
+
+    /// Whom an INVITE calls, from its request URI; the status to reject it with if it is not a valid call.
+    fn call_target(&self, request: &Message) -> Result<CallTarget, u16> {
+        let (user, _, params) = uri_parts(request.uri().unwrap_or_default());
+        let value = |name: &str| param(&format!(";{params}"), name).map(str::to_string);
+        if request.get("Contact").is_none() {
+            return Err(STATUS_BAD_REQUEST);
+        }
+        let user = user.filter(|user| !user.is_empty()).ok_or(STATUS_NOT_FOUND)?;
+        let class = match value("class") {
+            Some(name) => self.classes.iter().position(|c| *c == name).ok_or(STATUS_NOT_ACCEPTABLE)?,
+            None => 0,
         };
-        self.feed(Input::SetupRequested(set_up));
+        let pool = value("pool").and_then(|pool| pool.parse().ok()).unwrap_or(ANY_POOL);
+        Ok(CallTarget { class, number: fold(user), dialled: user.into(), pool: PoolId(pool) })
+    }
+
+    /// The time in which an INVITE wants its answer: its Expires, within the configured limit.
+    fn time_left(&self, request: &Message) -> Micros {
+        let expires = request.get("Expires").and_then(|e| e.trim().parse::<u64>().ok());
+        expires.map_or(self.wait, |seconds| seconds.saturating_mul(MICROS_PER_SECOND).min(self.wait))
     }
 
     /// CANCEL (§9.2): it ends an INVITE that has no final answer, and changes nothing else.
@@ -298,7 +344,7 @@
             (Some(true), _) => 405,
         };
         let mut response = Message::response(request, code, None);
-        if matches!(code, 200 | 405) {
+        if matches!(code, STATUS_OK | STATUS_METHOD_NOT_ALLOWED) {
             response.add("Allow", ALLOW);
         }
         self.respond(key, response);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -278,7 +278,7 @@
         if stopped {
             site.fleet.pause(2, true);
         }
-        let twin = site.fleet.twin(2, 1);
+        let twin = site.fleet.start_duplicate(2, 1);
         if stopped {
             let time = site.fleet.bound();
             site.fleet.go_on(time);
--- a/tests/owner.rs
+++ b/tests/owner.rs
@@ -296,7 +296,7 @@
 #[test]
 fn a_folder_that_another_process_has_is_told() {
     let mut owned = owned(3, 3, false);
-    let twin = owned.fleet().twin(2, 0);
+    let twin = owned.fleet().start_duplicate(2, 0);
     owned.fleet().until("it says why", Duration::from_secs(60), |_, seen| {
         let trouble = voter(seen, twin)["trouble"].as_str().unwrap_or_default().to_string();
         if trouble.contains("another process has it locked") { Ok(()) } else { Err(trouble) }
