--- a/benches/limits.rs
+++ b/benches/limits.rs
@@ -103,7 +103,7 @@
         is_idempotent: true,
     };
     Settings {
-        gatekeepers: 1,
+        gatekeeper_count: 1,
         classes: vec![class(), class()],
         tick: 5_000,
         max_attempts: 4,
--- a/src/bin/cobaltspool-simulator-adapter/from_wire.rs
+++ b/src/bin/cobaltspool-simulator-adapter/from_wire.rs
@@ -19,7 +19,7 @@
     };
     let (limits, rules) = (&profile.ceilings, &profile.rules);
     Settings {
-        gatekeepers: profile.peers_total,
+        gatekeeper_count: profile.peers_total,
         own_index: profile.me,
         classes: profile.services.iter().enumerate().map(class).collect(),
         retransmit_after: profile.domain.resend_us,
--- a/src/config.rs
+++ b/src/config.rs
@@ -277,7 +277,7 @@
     }
     let discovery = settings.0.get("discovery").and_then(|d| d.get::<String>());
     Ok(Settings {
-        gatekeepers: settings.count("peers-total")? as u32,
+        gatekeeper_count: settings.count("peers-total")? as u32,
         own_index: settings.count("me")? as u32,
         classes,
         retransmit_after: domain.count("resend-us")?,
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -192,12 +192,12 @@
 
     /// Sets how many gatekeepers share the servers from now on.
     pub fn set_gatekeepers(&mut self, gatekeepers: u32) {
-        self.policy.set_gatekeepers(gatekeepers);
+        self.policy.set_gatekeeper_count(gatekeepers);
     }
 
     /// How many gatekeepers share the servers by the configuration.
     pub fn configured_gatekeepers(&self) -> u32 {
-        self.settings.gatekeepers
+        self.settings.gatekeeper_count
     }
 
     /// Sets whether another process of this gatekeeper takes calls too, so that the limits are shared with it.
--- a/src/gateway/tests.rs
+++ b/src/gateway/tests.rs
@@ -74,8 +74,14 @@
     };
     let rules = Rules { drain_grace: 250 * MS, release_wait: 500 * MS, ..Rules::default() };
     let classes = vec![class];
-    let set =
-        Settings { gatekeepers: 1, classes, tick: 5 * MS, max_attempts: 4, rules, ..Settings::default() };
+    let set = Settings {
+        gatekeeper_count: 1,
+        classes,
+        tick: 5 * MS,
+        max_attempts: 4,
+        rules,
+        ..Settings::default()
+    };
     let mut harness = Harness { gateway: Gateway::new(set, 7), now: 1_000_000 * MS, out: Vec::new() };
     harness.list(EndpointListScope::Complete, &[(0, ServerStatus::Up), (1, ServerStatus::Up)]);
     let sent = harness.request(CALL, "one");
@@ -245,7 +251,7 @@
         let class = Class { latency_objective: 2_000 * MS, priority_weight: 1.0, late_weight_share: 0.25, pools: None, is_idempotent: true };
         let rules = Rules { drain_grace: 250 * MS, release_wait: 500 * MS, ..Rules::default() };
         let classes = vec![class.clone(), class];
-        let set = Settings { gatekeepers: 1, classes, tick: 5 * MS, max_attempts: 4, rules, ..Settings::default() };
+        let set = Settings { gatekeeper_count: 1, classes, tick: 5 * MS, max_attempts: 4, rules, ..Settings::default() };
         let mut harness = Harness { gateway: Gateway::new(set, 7), now: 1_000_000 * MS, out: Vec::new() };
         harness.list(EndpointListScope::Complete, &[(0, ServerStatus::Up), (1, ServerStatus::Up)]);
         let (mut last, mut taken, mut unknown) = (vec![ClassCounters::default(); 2], 0u64, 0u64);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,7 +10,7 @@
 //! use cobaltspool::*;
 //!
 //! let settings = Settings {
-//!     gatekeepers: 1,
+//!     gatekeeper_count: 1,
 //!     classes: vec![Class {
 //!         latency_objective: 1_200_000,
 //!         priority_weight: 1.0,
--- a/src/policy/controller.rs
+++ b/src/policy/controller.rs
@@ -57,8 +57,8 @@
     }
 
     /// Sets how many gatekeepers share the servers from now on.
-    pub fn set_gatekeepers(&mut self, gatekeepers: u32) {
-        self.settings.gatekeepers = gatekeepers.max(1);
+    pub fn set_gatekeeper_count(&mut self, count: u32) {
+        self.settings.gatekeeper_count = count.max(1);
     }
 
     /// Moves the time on to `now` and ends the intervals that have passed.
--- a/src/policy/interface.rs
+++ b/src/policy/interface.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     /// How many gatekeepers share the servers, this one included.
-    pub gatekeepers: u32,
+    pub gatekeeper_count: u32,
     /// This gatekeeper's number, from 0.
     pub own_index: u32,
     /// Classes of call, by their place in this list.
--- a/src/policy/occupancy.rs
+++ b/src/policy/occupancy.rs
@@ -58,7 +58,7 @@
 
     /// Set-ups that one own unanswered set-up stands for.
     fn unanswered_weight(&self) -> f64 {
-        (UNANSWERED_PER_GATEKEEPER * self.settings.gatekeepers as f64).max(1.0)
+        (UNANSWERED_PER_GATEKEEPER * self.settings.gatekeeper_count as f64).max(1.0)
     }
 
     /// Until when this gatekeeper has surely seen what came: now, but what it finds after a stall of its own
@@ -86,7 +86,7 @@
     pub(super) fn record_load(&mut self, id: ServerId, report: &LoadReport) -> bool {
         let valid = |figure: Option<f64>| figure.filter(|figure| figure.is_finite() && *figure >= 0.0);
         let calls_per_server = self.arrival_rate / self.servers.len().max(1) as f64;
-        let gatekeepers = self.settings.gatekeepers.max(1) as f64;
+        let gatekeepers = self.settings.gatekeeper_count.max(1) as f64;
         let part = (1.0 + ALLOWED_RATE_FACTOR * calls_per_server) / gatekeepers;
         let now = self.now;
         let Some(server) = self.servers.get_mut(&id) else { return false };
--- a/tests/limits_properties.rs
+++ b/tests/limits_properties.rs
@@ -28,7 +28,7 @@
         is_idempotent: true,
     };
     Settings {
-        gatekeepers: 1,
+        gatekeeper_count: 1,
         classes: vec![class(2 * SEC), class(SEC)],
         tick: 5 * MS,
         max_attempts: 4,
--- a/tests/policy_harness/mod.rs
+++ b/tests/policy_harness/mod.rs
@@ -23,7 +23,7 @@
         is_idempotent: true,
     };
     Settings {
-        gatekeepers: 4,
+        gatekeeper_count: 4,
         classes: vec![class(1_200 * MS, 1.0), class(2_000 * MS, 2.0)],
         retransmit_after: 500 * MS,
         tick: 5 * MS,
--- a/tests/policy_routing_and_outliers.rs
+++ b/tests/policy_routing_and_outliers.rs
@@ -180,21 +180,21 @@
 /// counts for 0.4 * 10 = 4 set-ups, here of 0.8 * 20 ms: p = 0.8 * 64 / 250; a lone gatekeeper counts its own only.
 #[test]
 fn unanswered_setup_counts_by_the_number_of_gatekeepers() {
-    for (gatekeepers, p) in [(10, 0.2048), (1, 0.0512)] {
-        let mut harness = PolicyHarness::with(Settings { gatekeepers, ..settings() }, 1);
+    for (gatekeeper_count, p) in [(10, 0.2048), (1, 0.0512)] {
+        let mut harness = PolicyHarness::with(Settings { gatekeeper_count, ..settings() }, 1);
         harness.teach_setup_delay(1, 0, 20 * MS);
         harness.advance(SEC);
         harness.call(2, 0);
         assert!(
             (harness.gauge(0).occupancy - p).abs() < 1e-9,
-            "{gatekeepers} gatekeepers: {:?}",
+            "{gatekeeper_count} gatekeepers: {:?}",
             harness.gauge(0)
         );
     }
 }
 
 fn one_of_many(servers: u32) -> PolicyHarness {
-    PolicyHarness::with(Settings { gatekeepers: 200, may_check_health: true, ..settings() }, servers)
+    PolicyHarness::with(Settings { gatekeeper_count: 200, may_check_health: true, ..settings() }, servers)
 }
 
 fn health_checks(harness: &PolicyHarness, server: u32) -> usize {
@@ -266,8 +266,8 @@
 /// took it for the usual.
 #[test]
 fn gatekeeper_keeps_to_its_part_of_the_allowed_rate() {
-    let sent_in_10_s = |gatekeepers: u32, allowed: f64| {
-        let mut harness = PolicyHarness::with(Settings { gatekeepers, ..settings() }, 1);
+    let sent_in_10_s = |gatekeeper_count: u32, allowed: f64| {
+        let mut harness = PolicyHarness::with(Settings { gatekeeper_count, ..settings() }, 1);
         let mut sent = 0;
         for id in 0..100 {
             harness.report_load(0, LoadReport { allowed_rate: Some(allowed), ..LoadReport::default() });
