--- a/src/driver.rs
+++ b/src/driver.rs
@@ -24,11 +24,11 @@
 use crate::operate::{AdminService, FrontendStatus};
 
 /// At the end, what is queued on connections may take this long to be written.
-const FLUSH_TIME: Duration = Duration::from_millis(120);
+const FLUSH_DELAY: Duration = Duration::from_millis(120);
 /// What was queued at a listener when it closed is read and answered within this.
-const LISTENER_DRAIN_TIME: Duration = Duration::from_millis(50);
+const LISTENER_DRAIN_DELAY: Duration = Duration::from_millis(50);
 /// A connection that is closed has ended after so many turns of the loop; it waits for nobody.
-const CLOSE_TURNS: usize = 64;
+const MAX_CLOSE_YIELDS: usize = 64;
 
 /// A frontend's core, with what surrounds it.
 pub struct Driver {
@@ -49,7 +49,7 @@
     /// When the last endpoint list came: before the first no call could go anywhere.
     pub list_received_at: Option<Micros>,
     /// When the resolver last answered with a list, new or not.
-    pub list_heard_at: Rc<Heard>,
+    pub last_list_response_at: Rc<Heard>,
 }
 
 impl Driver {
@@ -64,7 +64,7 @@
             class_names,
             serving_state: ServingState::new(max_wait),
             list_received_at: None,
-            list_heard_at: Rc::new(Heard::new(clock::now())),
+            last_list_response_at: Rc::new(Heard::new(clock::now())),
         }
     }
 
@@ -77,18 +77,18 @@
     pub fn metrics(&self) -> Metrics {
         let counters = self.gateway.counters().iter().copied();
         let servers = self.gateway.server_counts();
-        let list_silent = clock::now().saturating_sub(self.list_heard_at.get());
+        let list_age = clock::now().saturating_sub(self.last_list_response_at.get());
         Metrics {
             classes: self.class_names.iter().cloned().zip(counters).collect(),
             in_flight: self.gateway.pending_calls() + self.gateway.established_calls(),
             servers_known: servers.listed,
             servers_excluded: servers.excluded,
-            list_silent_s: Duration::from_micros(list_silent).as_secs() as usize,
+            list_silent_s: Duration::from_micros(list_age).as_secs() as usize,
         }
     }
 
     /// Whether the program has been told to stop and has nothing left to do.
-    fn has_stopped(&self, now: Micros, client_connections: usize) -> bool {
+    fn may_exit(&self, now: Micros, client_connections: usize) -> bool {
         let open = OpenWork {
             pending_calls: self.gateway.pending_calls(),
             established_calls: self.gateway.established_calls(),
@@ -153,10 +153,10 @@
 }
 
 /// The operators' limits, as they are from now on; `None`: there is no file.
-pub type LimitPlans = watch::Receiver<Option<Rc<Plan>>>;
+pub type LimitPlanReceiver = watch::Receiver<Option<Rc<Plan>>>;
 
 /// Gives the core other limits when they change, for ever.
-pub async fn follow_limits<F: Frontend>(frontend: &RefCell<F>, mut plans: LimitPlans) {
+pub async fn follow_limits<F: Frontend>(frontend: &RefCell<F>, mut plans: LimitPlanReceiver) {
     while plans.changed().await.is_ok() {
         let plan = plans.borrow_and_update().clone();
         if let Some(plan) = plan {
@@ -185,18 +185,18 @@
 }
 
 /// What the fleet's membership says from moment to moment; `None`: there is no fleet.
-pub type FleetWatch = Option<watch::Receiver<(Micros, MembershipSummary)>>;
+pub type MembershipReceiver = Option<watch::Receiver<(Micros, MembershipSummary)>>;
 
 /// Tells the core how many gatekeepers share the servers, for ever. With what is seen comes how long a fall has to be
 /// settled: it grows with the fleet.
-async fn follow_live_instances<F: Frontend>(frontend: &RefCell<F>, fleet: FleetWatch) {
-    let Some(mut fleet) = fleet else { return std::future::pending().await };
+async fn follow_live_instances<F: Frontend>(frontend: &RefCell<F>, membership: MembershipReceiver) {
+    let Some(mut updates) = membership else { return std::future::pending().await };
     let configured = frontend.borrow_mut().driver().gateway.configured_gatekeepers();
     let mut live_instances = LiveInstances::new(configured);
     let mut in_use = configured;
-    while fleet.changed().await.is_ok() {
-        let (bound, seen) = *fleet.borrow_and_update();
-        let count = live_instances.update(clock::now(), bound, seen);
+    while updates.changed().await.is_ok() {
+        let (detection_bound, summary) = *updates.borrow_and_update();
+        let count = live_instances.update(clock::now(), detection_bound, summary);
         if count != in_use {
             tracing::info!(target: "fleet", from = in_use, to = count, "gatekeepers that share the servers");
             frontend.borrow_mut().driver().gateway.set_gatekeepers(count);
@@ -215,17 +215,17 @@
 ) {
     let status: Rc<dyn FrontendStatus> = frontend.clone();
     admin.register_frontend(Rc::downgrade(&status));
-    let stopping = async {
+    let shutdown = async {
         stop.await;
         tracing::info!("stopping");
         admin.shut_down();
         frontend.borrow_mut().driver().serving_state.shut_down(clock::now());
         std::future::pending::<()>().await;
     };
-    let mut orders = admin.watch_out_of_service();
-    let ordered = async {
-        while orders.changed().await.is_ok() {
-            let is_out = *orders.borrow_and_update();
+    let mut out_of_service_changes = admin.watch_out_of_service();
+    let follow_service_orders = async {
+        while out_of_service_changes.changed().await.is_ok() {
+            let is_out = *out_of_service_changes.borrow_and_update();
             let mut frontend = frontend.borrow_mut();
             frontend.driver().serving_state.set_out_of_service(clock::now(), is_out);
             frontend.maintain(clock::now());
@@ -238,8 +238,8 @@
     };
     tokio::select! {
         _ = tasks => {}
-        () = stopping => {}
-        () = ordered => {}
+        () = shutdown => {}
+        () = follow_service_orders => {}
         () = timers_then_end => {}
         () = follow_live_instances(&frontend, admin.membership()) => {}
     }
@@ -248,11 +248,11 @@
 /// All calls have ended; what is queued is written, and what still comes is rejected, until the last connection is closed.
 /// Guards against an exit over what is unread: it resets connections and queues, and nobody is notified.
 async fn close_connections<F: Frontend>(frontend: &RefCell<F>) {
-    tokio::time::sleep(FLUSH_TIME).await;
+    tokio::time::sleep(FLUSH_DELAY).await;
     frontend.borrow_mut().stop_listening();
-    tokio::time::sleep(LISTENER_DRAIN_TIME).await;
+    tokio::time::sleep(LISTENER_DRAIN_DELAY).await;
     frontend.borrow_mut().close_clients();
-    for _ in 0..CLOSE_TURNS {
+    for _ in 0..MAX_CLOSE_YIELDS {
         if frontend.borrow().client_connections() == 0 {
             break;
         }
@@ -282,12 +282,12 @@
     frontend.feed(Input::Tick);
     frontend.maintain(now);
     let client_connections = frontend.client_connections();
-    if frontend.driver().has_stopped(now, client_connections) {
+    if frontend.driver().may_exit(now, client_connections) {
         // Whatever still comes while connections are flushed is rejected: nobody would see it through.
         frontend.driver().gateway.reject_new_calls(Some(0));
         frontend.feed(Input::Shutdown);
         return None;
     }
-    let core = frontend.driver().gateway.next_deadline().unwrap_or(Micros::MAX);
-    Some(core.min(now + F::MAINTENANCE_INTERVAL))
+    let core_deadline = frontend.driver().gateway.next_deadline().unwrap_or(Micros::MAX);
+    Some(core_deadline.min(now + F::MAINTENANCE_INTERVAL))
 }
--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -11,20 +11,20 @@
 
 impl Gateway {
     pub(super) fn reject(&mut self, call: CallId, retry_after: Micros, commands: &mut Vec<Command>) {
-        if self.end_pending(call, CallEnd::Rejected, commands) {
+        if self.end_pending_call(call, CallEnd::Rejected, commands) {
             commands.push(Command::Reject { call, retry_after });
         }
     }
 
     pub(super) fn fail(&mut self, call: CallId, commands: &mut Vec<Command>) {
-        if self.end_pending(call, CallEnd::Failed, commands) {
+        if self.end_pending_call(call, CallEnd::Failed, commands) {
             commands.push(Command::Fail { call });
         }
     }
 
     /// Removes a pending call, and cancels its attempt in flight. False for a call that is over already: no error, for
     /// what ended it and the decision may have crossed.
-    fn end_pending(&mut self, call: CallId, end: CallEnd, commands: &mut Vec<Command>) -> bool {
+    fn end_pending_call(&mut self, call: CallId, end: CallEnd, commands: &mut Vec<Command>) -> bool {
         let Some(in_flight) = self.remove_pending(call, end) else { return false };
         if let Some(in_flight) = in_flight {
             let attempt = AttemptId { call, number: in_flight.number };
@@ -62,7 +62,7 @@
                 self.pending_events.push_back(Event::CallerGone { call });
                 self.fail(call, commands);
             } else if now >= deadline {
-                self.calls.check_again_at(call, deadline + DECISION_SLACK);
+                self.calls.schedule_check(call, deadline + DECISION_SLACK);
             }
         }
     }
--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -29,7 +29,7 @@
         commands: &mut Vec<Command>,
     ) {
         let now = self.now;
-        if let Some(reason) = self.forbids(call, server) {
+        if let Some(reason) = self.forbidden_reason(call, server) {
             // Guards the rules against whatever the decision module asks for: the attempt never leaves.
             let violation = InvariantViolation::AttemptForbidden { call, server, reason };
             commands.push(Command::ReportViolation(violation));
@@ -38,7 +38,8 @@
         }
         let Some((entry, _)) = self.calls.pending_mut(call) else { return };
         let number = entry.attempts;
-        let max_timeout = entry.held.as_ref().and_then(|held| held.try_for).unwrap_or(Micros::MAX);
+        let max_timeout =
+            entry.limit_permit.as_ref().and_then(|permit| permit.try_for).unwrap_or(Micros::MAX);
         let timeout = if timeout == 0 { max_timeout } else { timeout.min(max_timeout) };
         let expires_at = entry.deadline.min(now.saturating_add(timeout));
         let description = entry.description.clone();
@@ -53,12 +54,12 @@
 
     /// The rule that forbids an attempt now, if there is one. A call that is over is not sent either, but that is no
     /// violation.
-    fn forbids(&mut self, call: CallId, server: ServerId) -> Option<ForbiddenReason> {
+    fn forbidden_reason(&mut self, call: CallId, server: ServerId) -> Option<ForbiddenReason> {
         let now = self.now;
         let max_attempts = self.settings.max_attempts;
         let drain_grace = self.settings.rules.drain_grace;
         let (entry, in_flight) = self.calls.pending_mut(call)?;
-        let limit = entry.held.as_ref().map(|held| held.limits.attempts.value);
+        let limit = entry.limit_permit.as_ref().map(|permit| permit.limits.attempts.value);
         let is_exhausted = max_attempts > 0 && entry.attempts >= max_attempts
             || limit.is_some_and(|limit| entry.attempts >= limit);
         if in_flight.is_some() {
@@ -135,8 +136,8 @@
         let mut verdict = Verdict { rest: 0, again: true };
         let now = self.now;
         if let Some((entry, _)) = self.calls.pending_mut(call) {
-            if let Some(held) = &entry.held {
-                verdict = self.limits.after(now, held, end.outcome, entry.attempts);
+            if let Some(permit) = &entry.limit_permit {
+                verdict = self.limits.after(now, permit, end.outcome, entry.attempts);
             }
             entry.not_before = entry.not_before.max(now.saturating_add(verdict.rest));
         }
--- a/src/gateway/call_counters.rs
+++ b/src/gateway/call_counters.rs
@@ -5,7 +5,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassCounters {
     /// Requested.
-    pub taken: u64,
+    pub requested: u64,
     /// Established.
     pub served: u64,
     /// Rejected.
@@ -21,7 +21,7 @@
 impl ClassCounters {
     /// Adds another's.
     pub fn add(&mut self, other: &ClassCounters) {
-        self.taken += other.taken;
+        self.requested += other.requested;
         self.served += other.served;
         self.rejected += other.rejected;
         self.failed += other.failed;
@@ -58,8 +58,8 @@
         &self.0
     }
 
-    pub(super) fn record_taken(&mut self, class: usize) {
-        self.increment(class, |counters| &mut counters.taken);
+    pub(super) fn record_requested(&mut self, class: usize) {
+        self.increment(class, |counters| &mut counters.requested);
     }
 
     pub(super) fn record_served(&mut self, class: usize) {
--- a/src/gateway/call_table.rs
+++ b/src/gateway/call_table.rs
@@ -51,7 +51,7 @@
     /// The caller's description; dropped once it is not needed.
     pub description: Bytes,
     /// The limits that apply to it and count it; dropped with the call. `None`: it was rejected at once.
-    pub held: Option<Held>,
+    pub limit_permit: Option<Held>,
 }
 
 impl CallEntry {
@@ -65,7 +65,7 @@
             attempts: 0,
             not_before: 0,
             description,
-            held: None,
+            limit_permit: None,
         }
     }
 
@@ -79,7 +79,7 @@
             attempts: attempt.number + 1,
             not_before: 0,
             description: Bytes::new(),
-            held: None,
+            limit_permit: None,
         }
     }
 
@@ -118,25 +118,25 @@
 #[derive(Default)]
 struct Quarantine {
     /// Until when.
-    until: HashMap<Box<str>, Micros>,
+    until_by_id: HashMap<Box<str>, Micros>,
     /// The same in the order in which the calls ended.
-    in_order: VecDeque<(Micros, Box<str>)>,
+    by_end: VecDeque<(Micros, Box<str>)>,
 }
 
 impl Quarantine {
     fn add(&mut self, wire_id: Box<str>, until: Micros) {
-        self.in_order.push_back((until, wire_id.clone()));
-        self.until.insert(wire_id, until);
+        self.by_end.push_back((until, wire_id.clone()));
+        self.until_by_id.insert(wire_id, until);
     }
 
-    fn until(&mut self, wire_id: &str, now: Micros) -> Option<Micros> {
-        while self.in_order.front().is_some_and(|(until, _)| *until <= now) {
-            let Some((_, ended)) = self.in_order.pop_front() else { break };
-            if self.until.get(&ended).is_some_and(|until| *until <= now) {
-                self.until.remove(&ended);
+    fn blocked_until(&mut self, wire_id: &str, now: Micros) -> Option<Micros> {
+        while self.by_end.front().is_some_and(|(until, _)| *until <= now) {
+            let Some((_, ended)) = self.by_end.pop_front() else { break };
+            if self.until_by_id.get(&ended).is_some_and(|until| *until <= now) {
+                self.until_by_id.remove(&ended);
             }
         }
-        self.until.get(wire_id).copied().filter(|until| now < *until)
+        self.until_by_id.get(wire_id).copied().filter(|until| now < *until)
     }
 }
 
@@ -152,7 +152,7 @@
             return false;
         }
         self.deadlines.insert(Deadline { at: entry.deadline, call });
-        self.counters.record_taken(entry.class);
+        self.counters.record_requested(entry.class);
         self.calls.insert(call, entry);
         true
     }
@@ -169,7 +169,7 @@
 
     /// Returns until when a call of this wire id may not be sent, if an earlier one's attempt may still hold something.
     pub fn quarantined_until(&mut self, wire_id: &str, now: Micros) -> Option<Micros> {
-        self.quarantine.until(wire_id, now)
+        self.quarantine.blocked_until(wire_id, now)
     }
 
     /// A pending or established call.
@@ -192,17 +192,17 @@
     }
 
     /// Records the limits that apply to a call.
-    pub fn set_limits(&mut self, call: CallId, held: Held) {
+    pub fn set_limits(&mut self, call: CallId, limit_permit: Held) {
         if let Some(entry) = self.calls.get_mut(&call) {
-            entry.held = Some(held);
+            entry.limit_permit = Some(limit_permit);
         }
     }
 
     /// Records that an attempt is in flight.
     pub fn record_attempt(&mut self, call: CallId, attempt: InFlightAttempt) {
         if let Some(entry) = self.calls.get_mut(&call) {
-            if let Some(held) = &entry.held {
-                held.sent(attempt.sent_at, attempt.number);
+            if let Some(permit) = &entry.limit_permit {
+                permit.sent(attempt.sent_at, attempt.number);
             }
             entry.state = CallState::Pending(Some(attempt));
             entry.attempts = attempt.number + 1;
@@ -258,7 +258,7 @@
     }
 
     /// Has a call looked at again at `at`.
-    pub fn check_again_at(&mut self, call: CallId, at: Micros) {
+    pub fn schedule_check(&mut self, call: CallId, at: Micros) {
         self.deadlines.insert(Deadline { at, call });
     }
 
--- a/src/gateway/interface.rs
+++ b/src/gateway/interface.rs
@@ -235,7 +235,7 @@
 
 /// What the core knows of a server, for another process of this gatekeeper.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ServerKnowledge {
+pub struct ServerSnapshot {
     /// It did not answer and gets trial calls only.
     pub is_ejected: bool,
     /// The last wait that it reported.
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -49,7 +49,7 @@
     /// A buffer for the decision module's actions.
     actions: Vec<Action>,
     /// New calls are rejected with this as their retry-after.
-    reject_new_calls: Option<Micros>,
+    new_call_retry_after: Option<Micros>,
     now: Micros,
 }
 
@@ -70,7 +70,7 @@
             timers: BTreeSet::new(),
             pending_events: VecDeque::new(),
             actions: Vec::new(),
-            reject_new_calls: None,
+            new_call_retry_after: None,
             now: 0,
             settings,
         }
@@ -157,7 +157,7 @@
 
     /// Rejects new calls from now on, with this retry-after; or takes them, with `None`.
     pub fn reject_new_calls(&mut self, retry_after: Option<Micros>) {
-        self.reject_new_calls = retry_after;
+        self.new_call_retry_after = retry_after;
     }
 
     /// What became of the calls so far, by class.
@@ -182,8 +182,8 @@
     }
 
     /// What is known of a server, for another process of this gatekeeper.
-    pub fn knowledge_of(&self, server: ServerId) -> ServerKnowledge {
-        ServerKnowledge {
+    pub fn server_snapshot(&self, server: ServerId) -> ServerSnapshot {
+        ServerSnapshot {
             is_ejected: self.policy.gauge(server).is_some_and(|gauge| gauge.is_ejected),
             last_reported_wait: self.routing.reported_wait(server),
             draining_since: self.routing.draining_since(server),
--- a/src/gateway/requests.rs
+++ b/src/gateway/requests.rs
@@ -24,16 +24,16 @@
         if class >= self.settings.classes.len() {
             return self.fail(call, commands);
         }
-        if let Some(retry_after) = self.reject_new_calls {
+        if let Some(retry_after) = self.new_call_retry_after {
             return self.reject(call, retry_after, commands);
         }
         let asked = Asked { class, pool: first_choice.0, number: &request.dialled_number, left: time_left };
-        let held = match self.limits.take(self.now, asked) {
-            Ok(held) => held,
+        let permit = match self.limits.take(self.now, asked) {
+            Ok(permit) => permit,
             Err(refusal) => return self.reject_at_limit(call, &refusal, commands),
         };
-        let max_attempts = held.limits.attempts.value;
-        self.calls.set_limits(call, held);
+        let max_attempts = permit.limits.attempts.value;
+        self.calls.set_limits(call, permit);
         self.pending_events.push_back(Event::Call(NewCall {
             call,
             class,
--- a/src/gateway/responses.rs
+++ b/src/gateway/responses.rs
@@ -10,7 +10,7 @@
 
 impl Gateway {
     /// The call's state and its attempt; `None` once the attempt has ended.
-    fn current(&self, attempt: AttemptId) -> Option<(CallState, InFlightAttempt)> {
+    fn active_attempt(&self, attempt: AttemptId) -> Option<(CallState, InFlightAttempt)> {
         let state = self.calls.get(attempt.call)?.state;
         let (CallState::Pending(Some(current)) | CallState::Established(current)) = state else {
             return None;
@@ -26,7 +26,7 @@
     ) {
         // A second answer to an established call changes nothing: its one final answer is given. The frontend never
         // reports answers of attempts that were cancelled; it releases them where they come in.
-        let Some((CallState::Pending(_), in_flight)) = self.current(attempt) else { return };
+        let Some((CallState::Pending(_), in_flight)) = self.active_attempt(attempt) else { return };
         let call = attempt.call;
         if self.calls.get(call).is_some_and(|entry| self.now >= entry.deadline) {
             // Its caller's time ended in the same turn: whichever is seen first, nobody waits for it any more.
@@ -46,11 +46,11 @@
         end: EndReport,
         commands: &mut Vec<Command>,
     ) {
-        let Some((state, current)) = self.current(attempt) else { return };
+        let Some((state, current)) = self.active_attempt(attempt) else { return };
         self.routing.record_load(self.now, current.server, &end.load);
         match state {
             CallState::Established(_) => self.end_established(attempt, current, end, commands),
-            CallState::Pending(_) => self.end_unanswered(attempt, current, end),
+            CallState::Pending(_) => self.end_pending_attempt(attempt, current, end),
         }
     }
 
@@ -62,14 +62,14 @@
         commands: &mut Vec<Command>,
     ) {
         let call = attempt.call;
-        let is_orderly = end.outcome == Outcome::Completed;
-        let quarantine_until = if is_orderly { 0 } else { self.now + self.settings.rules.release_wait };
+        let is_normal_end = end.outcome == Outcome::Completed;
+        let quarantine_until = if is_normal_end { 0 } else { self.now + self.settings.rules.release_wait };
         self.calls.remove(call, quarantine_until, CallEnd::Released);
         commands.push(Command::ReleaseToCaller { call, outcome: end.outcome });
         self.notify_call_over_with(call, established, end);
     }
 
-    fn end_unanswered(&mut self, attempt: AttemptId, in_flight: InFlightAttempt, mut end: EndReport) {
+    fn end_pending_attempt(&mut self, attempt: AttemptId, in_flight: InFlightAttempt, mut end: EndReport) {
         if end.outcome == Outcome::Completed {
             // "Ended well" for what was never established is a server's error; it may have run, so the wait applies.
             end.outcome = Outcome::Reset;
@@ -91,9 +91,9 @@
         ended_at: Micros,
         commands: &mut Vec<Command>,
     ) {
-        for (call, held) in self.calls.calls_at_server(server) {
-            if held.sent_at <= ended_at {
-                let attempt = AttemptId { call, number: held.number };
+        for (call, server_attempt) in self.calls.calls_at_server(server) {
+            if server_attempt.sent_at <= ended_at {
+                let attempt = AttemptId { call, number: server_attempt.number };
                 self.handle_attempt_ended(attempt, EndReport::unreported(Outcome::Reset), commands);
             }
         }
@@ -107,17 +107,17 @@
         last_heard_at: Micros,
         commands: &mut Vec<Command>,
     ) {
-        for (call, held) in self.calls.calls_at_server(server) {
+        for (call, server_attempt) in self.calls.calls_at_server(server) {
             // A pending attempt has a time-out of its own.
-            if held.sent_at > last_heard_at || !self.calls.is_established(call) {
+            if server_attempt.sent_at > last_heard_at || !self.calls.is_established(call) {
                 continue;
             }
             let quarantine_until = self.now + self.settings.rules.release_wait;
             self.calls.remove(call, quarantine_until, CallEnd::Released);
-            let attempt = AttemptId { call, number: held.number };
+            let attempt = AttemptId { call, number: server_attempt.number };
             commands.push(Command::ReleaseAtServer { attempt, server });
             commands.push(Command::ReleaseToCaller { call, outcome: Outcome::Reset });
-            self.notify_call_over(call, held, Outcome::Reset);
+            self.notify_call_over(call, server_attempt, Outcome::Reset);
         }
     }
 }
--- a/src/gateway/tests.rs
+++ b/src/gateway/tests.rs
@@ -31,7 +31,7 @@
         std::mem::take(&mut self.out)
     }
 
-    fn list(&mut self, scope: EndpointListScope, lines: &[(u32, ServerStatus)]) -> Vec<Command> {
+    fn update_list(&mut self, scope: EndpointListScope, lines: &[(u32, ServerStatus)]) -> Vec<Command> {
         let line = |(server, status): &(u32, ServerStatus)| ServerEntry {
             server: ServerId(*server),
             pool: PoolId((*server).into()),
@@ -74,10 +74,10 @@
     };
     let rules = Rules { drain_grace: 250 * MS, release_wait: 500 * MS, ..Rules::default() };
     let classes = vec![class];
-    let set =
+    let settings =
         Settings { gatekeepers: 1, classes, tick: 5 * MS, max_attempts: 4, rules, ..Settings::default() };
-    let mut harness = Harness { gateway: Gateway::new(set, 7), now: 1_000_000 * MS, out: Vec::new() };
-    harness.list(EndpointListScope::Complete, &[(0, ServerStatus::Up), (1, ServerStatus::Up)]);
+    let mut harness = Harness { gateway: Gateway::new(settings, 7), now: 1_000_000 * MS, out: Vec::new() };
+    harness.update_list(EndpointListScope::Complete, &[(0, ServerStatus::Up), (1, ServerStatus::Up)]);
     let sent = harness.request(CALL, "one");
     assert!(
         matches!(sent[..], [Command::SendAttempt { attempt: ATTEMPT, server: ServerId(0), .. }]),
@@ -86,24 +86,24 @@
     harness
 }
 
-fn is_only_a_violation(commands: &[Command]) -> bool {
+fn is_one_violation(commands: &[Command]) -> bool {
     matches!(commands, [Command::ReportViolation(_)])
 }
 
 #[rstest]
 fn sends_no_second_attempt_while_one_is_in_flight(mut harness: Harness) {
-    assert!(is_only_a_violation(&harness.force_attempt(1)));
+    assert!(is_one_violation(&harness.force_attempt(1)));
 }
 
 #[rstest]
 fn sends_nothing_to_a_draining_server_past_the_window(mut harness: Harness) {
     harness.end_attempt(Outcome::Rejected);
-    harness.list(EndpointListScope::Changes, &[(1, ServerStatus::Draining)]);
+    harness.update_list(EndpointListScope::Changes, &[(1, ServerStatus::Draining)]);
     harness.now += 100 * MS;
-    harness.list(EndpointListScope::Changes, &[(1, ServerStatus::Removed)]);
+    harness.update_list(EndpointListScope::Changes, &[(1, ServerStatus::Removed)]);
     harness.now += 150 * MS;
-    assert!(is_only_a_violation(&harness.force_attempt(1)), "the removal did not start the window again");
-    assert!(is_only_a_violation(&harness.force_attempt(7)), "nothing to a server that was never listed");
+    assert!(is_one_violation(&harness.force_attempt(1)), "the removal did not start the window again");
+    assert!(is_one_violation(&harness.force_attempt(7)), "nothing to a server that was never listed");
 }
 
 #[rstest]
@@ -114,7 +114,7 @@
     let sent = |c: &[Command]| c.iter().any(|c| matches!(c, Command::SendAttempt { .. }));
     assert!(!sent(&harness.end_attempt(outcome)));
     harness.now += 499 * MS;
-    assert!(is_only_a_violation(&harness.force_attempt(1)));
+    assert!(is_one_violation(&harness.force_attempt(1)));
     harness.now += MS;
     assert!(sent(&harness.feed(Input::Tick)), "the decision module's own retry passes");
 }
@@ -245,9 +245,9 @@
         let class = Class { latency_objective: 2_000 * MS, priority_weight: 1.0, late_weight_share: 0.25, pools: None, is_idempotent: true };
         let rules = Rules { drain_grace: 250 * MS, release_wait: 500 * MS, ..Rules::default() };
         let classes = vec![class.clone(), class];
-        let set = Settings { gatekeepers: 1, classes, tick: 5 * MS, max_attempts: 4, rules, ..Settings::default() };
-        let mut harness = Harness { gateway: Gateway::new(set, 7), now: 1_000_000 * MS, out: Vec::new() };
-        harness.list(EndpointListScope::Complete, &[(0, ServerStatus::Up), (1, ServerStatus::Up)]);
+        let settings = Settings { gatekeepers: 1, classes, tick: 5 * MS, max_attempts: 4, rules, ..Settings::default() };
+        let mut harness = Harness { gateway: Gateway::new(settings, 7), now: 1_000_000 * MS, out: Vec::new() };
+        harness.update_list(EndpointListScope::Complete, &[(0, ServerStatus::Up), (1, ServerStatus::Up)]);
         let (mut last, mut taken, mut unknown) = (vec![ClassCounters::default(); 2], 0u64, 0u64);
         // What went out: the latest attempt of each call, and the answers.
         let mut attempts = std::collections::HashMap::new();
@@ -295,13 +295,13 @@
             let counts = harness.gateway.counters().to_vec();
             let mut sum = ClassCounters::default();
             for (now, was) in counts.iter().zip(&last) {
-                let of = |c: &ClassCounters| [c.taken, c.served, c.rejected, c.failed, c.cancelled];
+                let of = |c: &ClassCounters| [c.requested, c.served, c.rejected, c.failed, c.cancelled];
                 prop_assert!(of(now).iter().zip(of(was)).all(|(now, was)| *now >= was), "{was:?} > {now:?}");
                 sum.add(now);
             }
             let open = harness.gateway.pending_calls() as u64;
-            prop_assert_eq!(sum.taken, taken - unknown);
-            prop_assert_eq!(sum.taken, sum.served + sum.rejected + sum.failed + sum.cancelled + open);
+            prop_assert_eq!(sum.requested, taken - unknown);
+            prop_assert_eq!(sum.requested, sum.served + sum.rejected + sum.failed + sum.cancelled + open);
             // A call of a class that does not exist fails at once, and is in no count.
             prop_assert_eq!([sum.served, sum.rejected, sum.failed], [answers, refusals, failures - unknown]);
             last = counts;
--- a/src/link.rs
+++ b/src/link.rs
@@ -21,9 +21,9 @@
 use tokio::time::{Instant, timeout_at};
 
 /// Maximum size of the output queue in bytes; a peer that lets more accumulate is disconnected.
-const BACKLOG_BYTES: usize = 256 * 1024;
+const MAX_OUTBOX_BYTES: usize = 256 * 1024;
 /// Length of the listener's backlog.
-const BACKLOG: u32 = 1024;
+const LISTEN_BACKLOG: u32 = 1024;
 /// Initial capacity of the input buffer; it grows as its messages need.
 const INITIAL_BUFFER_BYTES: usize = 2 * 1024;
 
@@ -36,7 +36,7 @@
         tracing::warn!(error = %e, "no second process can listen beside this one: upgrades will refuse connections");
     }
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(LISTEN_BACKLOG)
 }
 
 /// Identifies a message in an outbox; numbers increase.
@@ -46,7 +46,7 @@
 /// The output queue of a connection.
 #[derive(Default)]
 pub struct Outbox {
-    queue: RefCell<Queue>,
+    queue: RefCell<OutboxQueue>,
     wake: Notify,
     closing: Cell<Closing>,
 }
@@ -56,32 +56,32 @@
     #[default]
     No,
     /// Closed as idle: pending input is read first and may keep the connection open.
-    Unused,
-    Yes,
+    IfIdle,
+    Now,
 }
 
 #[derive(Default)]
-struct Queue {
+struct OutboxQueue {
     bytes: BytesMut,
     /// Unwritten size of each message in `bytes`, in order.
     messages: VecDeque<(Ticket, usize)>,
     /// Whether the first message has been written in part.
-    first_partly_written: bool,
+    is_first_partly_written: bool,
     /// Number of the most recently queued message.
-    last: u64,
+    last_ticket: u64,
 }
 
-impl Queue {
+impl OutboxQueue {
     fn add(&mut self, message: &[u8]) -> Ticket {
-        self.last += 1;
+        self.last_ticket += 1;
         self.bytes.extend_from_slice(message);
-        self.messages.push_back((Ticket(self.last), message.len()));
-        Ticket(self.last)
+        self.messages.push_back((Ticket(self.last_ticket), message.len()));
+        Ticket(self.last_ticket)
     }
 
     fn remove_written(&mut self, mut size: usize) {
         self.bytes.advance(size);
-        self.first_partly_written |= size > 0;
+        self.is_first_partly_written |= size > 0;
         while let Some((_, left)) = self.messages.front_mut() {
             if size < *left {
                 *left -= size;
@@ -89,7 +89,7 @@
             }
             size -= *left;
             self.messages.pop_front();
-            self.first_partly_written = size > 0;
+            self.is_first_partly_written = size > 0;
         }
     }
 
@@ -97,7 +97,7 @@
     fn find(&self, ticket: Ticket) -> Option<(usize, usize, usize)> {
         let index = self.messages.iter().position(|(t, _)| *t == ticket)?;
         let offset = self.messages.iter().take(index).map(|(_, size)| size).sum();
-        (index > 0 || !self.first_partly_written).then(|| (offset, index, self.messages[index].1))
+        (index > 0 || !self.is_first_partly_written).then(|| (offset, index, self.messages[index].1))
     }
 }
 
@@ -105,10 +105,10 @@
     /// Queues a message; `None` if the connection is closed, or is closed now because its queue is full.
     /// Cancels a pending idle close.
     pub fn push(&self, message: &[u8]) -> Option<Ticket> {
-        if !self.stay_open() {
+        if !self.cancel_idle_close() {
             return None;
         }
-        if self.waiting() + message.len() > BACKLOG_BYTES {
+        if self.queued_bytes() + message.len() > MAX_OUTBOX_BYTES {
             self.close();
             return None;
         }
@@ -141,32 +141,32 @@
     }
 
     /// Number of bytes still to be written.
-    pub fn waiting(&self) -> usize {
+    pub fn queued_bytes(&self) -> usize {
         self.queue.borrow().bytes.len()
     }
 
     /// Whether everything has been written.
     pub fn is_empty(&self) -> bool {
-        self.waiting() == 0
+        self.queued_bytes() == 0
     }
 
     /// Closes the connection after writing as much of the queue as the peer accepts without blocking.
     pub fn close(&self) {
-        self.closing.set(Closing::Yes);
+        self.closing.set(Closing::Now);
         self.wake.notify_one();
     }
 
     /// Closes the connection as idle, unless pending input keeps it open.
-    pub fn close_unused(&self) {
+    pub fn close_if_idle(&self) {
         if self.closing.get() == Closing::No {
-            self.closing.set(Closing::Unused);
+            self.closing.set(Closing::IfIdle);
             self.wake.notify_one();
         }
     }
 
     /// Marks the connection as in use, which cancels an idle close; false if it is closed.
-    pub fn stay_open(&self) -> bool {
-        if self.closing.get() == Closing::Unused {
+    pub fn cancel_idle_close(&self) -> bool {
+        if self.closing.get() == Closing::IfIdle {
             self.closing.set(Closing::No);
         }
         self.is_open()
@@ -233,13 +233,13 @@
 
 /// Scheduler turns after which pending input has been read: one in which the runtime polls its sockets (the previous poll
 /// may have returned for timers alone), and one in which the reading tasks run.
-const TURNS_TO_READ_PENDING: usize = 2;
+const YIELDS_TO_READ_PENDING: usize = 2;
 /// Consecutive reads after which the writing half runs, so that a peer that sends without pause is still answered.
-const READS_IN_A_ROW: u64 = 16;
+const READS_PER_YIELD: u64 = 16;
 
 /// Returns once the reading tasks have read all input that is pending now.
 pub async fn read_pending_input() {
-    for _ in 0..TURNS_TO_READ_PENDING {
+    for _ in 0..YIELDS_TO_READ_PENDING {
         tokio::task::yield_now().await;
     }
 }
@@ -254,12 +254,12 @@
 pub async fn run(
     stream: &mut impl SplitStream,
     outbox: &Outbox,
-    whole: Duration,
+    message_timeout: Duration,
     on_bytes: impl FnMut(&mut BytesMut) -> bool,
     on_drained: impl FnMut(),
 ) -> io::Result<()> {
     let (input, output) = stream.split_halves();
-    let mut reading = std::pin::pin!(read(input, whole, on_bytes));
+    let mut reading = std::pin::pin!(read(input, message_timeout, on_bytes));
     let written = tokio::select! {
         biased;
         result = &mut reading => {
@@ -274,7 +274,7 @@
     // discard what was written last.
     let rest = async {
         if written.is_err() {
-            return tokio::time::sleep(whole).await;
+            return tokio::time::sleep(message_timeout).await;
         }
         read_pending_input().await;
     };
@@ -284,30 +284,30 @@
 
 async fn read(
     mut input: impl AsyncRead + Unpin,
-    whole: Duration,
+    message_timeout: Duration,
     mut on_bytes: impl FnMut(&mut BytesMut) -> bool,
 ) -> io::Result<()> {
     let mut buffer = BytesMut::with_capacity(INITIAL_BUFFER_BYTES);
-    let mut begun = Instant::now();
+    let mut message_began = Instant::now();
     for reads in 1_u64.. {
         // `reserve` moves the remaining bytes to the buffer's start before it allocates.
         buffer.reserve(INITIAL_BUFFER_BYTES / 2);
         let size = if buffer.is_empty() {
             input.read_buf(&mut buffer).await?
         } else {
-            timeout_at(begun + whole, input.read_buf(&mut buffer)).await??
+            timeout_at(message_began + message_timeout, input.read_buf(&mut buffer)).await??
         };
         if size == 0 {
             break;
         }
-        let held = buffer.len();
+        let size_before = buffer.len();
         if !on_bytes(&mut buffer) {
             return Err(io::ErrorKind::InvalidData.into());
         }
-        if buffer.len() < held || held == size {
-            begun = Instant::now(); // the remaining bytes begin another message
+        if buffer.len() < size_before || size_before == size {
+            message_began = Instant::now(); // the remaining bytes begin another message
         }
-        if reads % READS_IN_A_ROW == 0 {
+        if reads % READS_PER_YIELD == 0 {
             tokio::task::yield_now().await;
         }
     }
@@ -318,10 +318,10 @@
     loop {
         while outbox.is_empty() {
             match outbox.closing.get() {
-                Closing::Yes => return Ok(()),
-                Closing::Unused => {
+                Closing::Now => return Ok(()),
+                Closing::IfIdle => {
                     read_pending_input().await;
-                    if outbox.closing.get() == Closing::Unused {
+                    if outbox.closing.get() == Closing::IfIdle {
                         outbox.close();
                     }
                 }
@@ -332,7 +332,7 @@
         match written {
             Ok(n) => outbox.queue.borrow_mut().remove_written(n),
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                if outbox.closing.get() == Closing::Yes {
+                if outbox.closing.get() == Closing::Now {
                     return Ok(());
                 }
                 tokio::select! {
--- a/src/platform/clients/connections.rs
+++ b/src/platform/clients/connections.rs
@@ -182,21 +182,21 @@
             (used_at.is_some(), used_at.unwrap_or(connection.opened_at))
         };
         let Some(connection) = closable.min_by_key(rank) else { return false };
-        connection.outbox.close_unused();
+        connection.outbox.close_if_idle();
         true
     }
 
     /// Closes every idle connection.
     pub(in crate::platform) fn close_idle(&mut self, now: Micros) {
         for connection in self.connections.values().filter(|connection| connection.is_idle(now)) {
-            connection.outbox.close_unused();
+            connection.outbox.close_if_idle();
         }
     }
 
     /// Closes every connection; what comes before its end is still rejected in words.
     pub(in crate::platform) fn close_all(&mut self) {
         for connection in self.connections.values() {
-            connection.outbox.close_unused();
+            connection.outbox.close_if_idle();
         }
     }
 
@@ -209,7 +209,7 @@
     pub(in crate::platform) fn maintain(&mut self, now: Micros) {
         self.expire_releases(now);
         for connection in self.connections.values().filter(|connection| connection.is_useless(now)) {
-            connection.outbox.close_unused();
+            connection.outbox.close_if_idle();
         }
     }
 
--- a/src/platform/clients/requests.rs
+++ b/src/platform/clients/requests.rs
@@ -82,7 +82,7 @@
 
     fn handle_request(&mut self, id: ConnectionId, tag: Tag, line: Line) {
         let connection = self.clients.connections.get(&id);
-        if !connection.is_some_and(|connection| connection.outbox.stay_open()) {
+        if !connection.is_some_and(|connection| connection.outbox.cancel_idle_close()) {
             // It crosses our close: its caller sends it again on another connection, so here nothing may be sent on (found in
             // the test of ten upgrades: one request in some 50,000 went out by both processes).
             return;
--- a/src/platform/handover.rs
+++ b/src/platform/handover.rs
@@ -172,7 +172,7 @@
         let now = clock::now();
         self.send_to_peer_process(&HandoverMessage::Hello { version: VERSION, seq: self.seq });
         for server in self.directory.servers().collect::<Vec<_>>() {
-            let known = self.driver.gateway.knowledge_of(server);
+            let known = self.driver.gateway.server_snapshot(server);
             let report = known.last_reported_wait;
             let message = HandoverMessage::Server(KnownServer {
                 server: self.directory.name(server).to_string(),
@@ -321,7 +321,7 @@
         }
         let Some(outbox) = self.peer_process.outbox.clone() else { return };
         for call in self.driver.gateway.established_call_ids() {
-            if outbox.waiting() > MAX_UNREAD_BYTES {
+            if outbox.queued_bytes() > MAX_UNREAD_BYTES {
                 return; // the rest follows when this is written
             }
             self.hand_over_one(call, &outbox);
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -64,7 +64,7 @@
 pub async fn serve(
     config: Config,
     resolver: watch::Receiver<SocketAddr>,
-    plan: driver::LimitPlans,
+    plan: driver::LimitPlanReceiver,
     admin: Rc<AdminService>,
     stop: impl Future<Output = ()>,
 ) -> Result<(), ListenError> {
@@ -92,7 +92,7 @@
 
 async fn follow_list(frontend: Shared, server: watch::Receiver<SocketAddr>, seq: u32) {
     let service = resolver::Service::Srv("_back._tcp.pool.lan.".to_string());
-    let heard = frontend.borrow().driver.list_heard_at.clone();
+    let heard = frontend.borrow().driver.last_list_response_at.clone();
     resolver::follow(server, service, Some(seq), &heard, |asked, serial, list| {
         let mut frontend = frontend.borrow_mut();
         frontend.seq = serial.unwrap_or(frontend.seq);
--- a/src/sip/mod.rs
+++ b/src/sip/mod.rs
@@ -122,7 +122,7 @@
 pub async fn serve(
     config: SipConfig,
     resolver: watch::Receiver<SocketAddr>,
-    plan: driver::LimitPlans,
+    plan: driver::LimitPlanReceiver,
     admin: Rc<AdminService>,
     stop: impl Future<Output = ()>,
 ) -> Result<(), ListenError> {
@@ -140,7 +140,7 @@
     let follow = async {
         let service = resolver::Service::DnsSd(config.service.clone());
         let on_list = |asked, _, list| frontend.borrow_mut().take_list(asked, list);
-        let heard = frontend.borrow().driver.list_heard_at.clone();
+        let heard = frontend.borrow().driver.last_list_response_at.clone();
         resolver::follow(resolver, service, None, &heard, on_list).await;
     };
     let tasks = async {
