--- a/crates/fleet-sim/src/world.rs
+++ b/crates/fleet-sim/src/world.rs
@@ -150,9 +150,9 @@
             version: "0.2.0".into(),
             address: node.address,
             seeds: node.seeds.clone(),
-            known: node.known.clone(),
+            configured: node.known.clone(),
             period: PERIOD,
-            memory,
+            retention: memory,
             nonce,
         };
         node.view = Some(Membership::new(now, set, seed));
@@ -358,7 +358,7 @@
                 continue;
             }
             // Counted first: most that do not agree differ in number.
-            let held = if view.counts().0 == truth.len() { view.live_members() } else { Vec::new() };
+            let held = if view.member_counts().0 == truth.len() { view.live_members() } else { Vec::new() };
             if held != truth {
                 let held = view.live_members();
                 return Err(format!("{} ({n}) holds {held:?}, and {truth:?} run", node.id));
--- a/crates/fleet-sim/tests/view.rs
+++ b/crates/fleet-sim/tests/view.rs
@@ -59,7 +59,7 @@
     assert_eq!(world.events.iter().filter(|(_, _, e)| matches!(e, Event::Down(..))).count(), 6);
     world.start(3);
     settled(&mut world);
-    let generation = |n: usize| world.nodes[n].view.as_ref().unwrap().members(world.now)[3].incarnation;
+    let generation = |n: usize| world.nodes[n].view.as_ref().unwrap().members(world.now)[3].generation;
     let generations: Vec<u64> = (0..7).map(generation).collect();
     assert_eq!(generations, [2; 7], "a newer start is above the older");
 }
@@ -291,7 +291,7 @@
     world.run(1);
     let now = world.now;
     let view = world.nodes[0].view.as_mut().unwrap();
-    let meant = frames.iter().filter(|f| f.to != 0 && f.kind != FrameKind::Ping).count() as u64;
+    let meant = frames.iter().filter(|f| f.receiver_nonce != 0 && f.kind != FrameKind::Ping).count() as u64;
     let (counted, mut out) = (view.drop_counters().replayed, Vec::new());
     for frame in frames {
         view.handle_frame(now, frame, &mut out);
--- a/crates/fleet/src/codec.rs
+++ b/crates/fleet/src/codec.rs
@@ -13,13 +13,14 @@
 
 use crate::envelope::{MAX_ENVELOPE_BYTES, PeerMessage};
 use crate::member::{
-    Incarnation, MemberId, MemberInfo, MemberRecord, MemberState, NAME_BYTES, StateVersion, UNKNOWN_BYTES,
+    Incarnation, MAX_NAME_BYTES, MAX_UNKNOWN_BYTES, MemberId, MemberInfo, MemberRecord, MemberState,
+    StateVersion,
 };
 
 /// The longest datagram.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 /// What records may take of a datagram; the rest is for the frame itself.
-pub const PIGGYBACK_BYTES: usize = 900;
+pub const MAX_PIGGYBACK_BYTES: usize = 900;
 /// The longest frame on a stream: the whole table.
 pub const MAX_STREAM_BYTES: usize = 512 * 1024;
 /// Most records of one frame.
@@ -57,15 +58,15 @@
     /// The sender, in its own words.
     pub from: MemberRecord,
     /// The nonce of the start that it is meant for; 0: not known.
-    pub to: u64,
+    pub receiver_nonce: u64,
     /// Counts the sender's frames.
     pub counter: u64,
     /// Which question this asks or answers.
-    pub probe: u64,
+    pub probe_id: u64,
     /// Whom to ask.
     pub target: Option<(MemberId, SocketAddr)>,
     /// How the sender sees the one that it writes to.
-    pub you: Option<StateVersion>,
+    pub receiver_version: Option<StateVersion>,
     /// Digest of the sender's live members.
     pub digest: u64,
     /// What it has heard of others.
@@ -176,15 +177,15 @@
 }
 
 /// Digest of a file that is to be the same for all members.
-pub fn digest(bytes: &[u8]) -> u64 {
+pub fn file_digest(bytes: &[u8]) -> u64 {
     let hash = blake3::hash(bytes);
     hash.as_bytes().iter().take(8).fold(0, |sum, byte| sum << 8 | u64::from(*byte))
 }
 
 /// About how many bytes a record takes in a frame.
-pub fn size(record: &MemberRecord) -> usize {
+pub fn estimated_record_size(record: &MemberRecord) -> usize {
     let info = &record.info;
-    let unknown: usize = info.unknown.iter().map(|(_, bytes)| bytes.len() + 2).sum();
+    let unknown: usize = info.unknown_fields.iter().map(|(_, bytes)| bytes.len() + 2).sum();
     let by = record.reported_by.as_ref().map_or(0, |by| by.as_str().len());
     92 + record.id.as_str().len() + by + info.zone.len() + info.version.len() + unknown
 }
@@ -216,11 +217,11 @@
         WireFrame {
             kind: frame.kind,
             from: WireRecord::from_record(&frame.from),
-            to: frame.to,
+            to: frame.receiver_nonce,
             counter: frame.counter,
-            probe: frame.probe,
+            probe: frame.probe_id,
             target: frame.target.clone(),
-            you: frame.you,
+            you: frame.receiver_version,
             digest: frame.digest,
             records: frame.records.iter().map(WireRecord::from_record).collect(),
         }
@@ -233,11 +234,11 @@
         Some(Frame {
             kind: self.kind,
             from: self.from.into_record()?,
-            to: self.to,
+            receiver_nonce: self.to,
             counter: self.counter,
-            probe: self.probe,
+            probe_id: self.probe,
             target: self.target,
-            you: self.you,
+            receiver_version: self.you,
             digest: self.digest,
             records: self.records.into_iter().map(WireRecord::into_record).collect::<Option<_>>()?,
         })
@@ -271,7 +272,7 @@
             IpAddr::V6(ip) => ip.octets().to_vec(),
         };
         address.extend_from_slice(&info.address.port().to_le_bytes());
-        let mut fields = vec![(ADDRESS, address), (AGE_MS, number(info.age / 1000)), (FLAGS, vec![flags])];
+        let mut fields = vec![(ADDRESS, address), (AGE_MS, number(info.uptime / 1000)), (FLAGS, vec![flags])];
         let mut add = |tag, bytes: Vec<u8>| {
             if !bytes.is_empty() {
                 fields.push((tag, bytes));
@@ -280,16 +281,16 @@
         add(ZONE, info.zone.as_bytes().to_vec());
         add(PROGRAM, info.version.as_bytes().to_vec());
         add(CALLS, number(u64::from(info.calls)));
-        add(OPS, number(info.ops));
+        add(OPS, number(info.ops_digest));
         if let Some(age) = info.list_age {
             fields.push((LIST_AGE_MS, number(age)));
         }
-        fields.extend(info.unknown.iter().cloned());
+        fields.extend(info.unknown_fields.iter().cloned());
         WireRecord {
             id: record.id.clone(),
             state_version: record.state_version,
             reported_by: record.reported_by.clone(),
-            since_ms: record.since / 1000,
+            since_ms: record.state_age / 1000,
             fields,
         }
     }
@@ -306,7 +307,7 @@
                 ADDRESS => address = Some(read_address(&bytes)?),
                 ZONE => info.zone = read_text(bytes)?,
                 PROGRAM => info.version = read_text(bytes)?,
-                AGE_MS => info.age = read_number(&bytes)?.saturating_mul(1000),
+                AGE_MS => info.uptime = read_number(&bytes)?.saturating_mul(1000),
                 FLAGS => {
                     let flags = *bytes.first()?;
                     info.ready = flags & READY != 0;
@@ -315,10 +316,10 @@
                 }
                 CALLS => info.calls = u32::try_from(read_number(&bytes)?).ok()?,
                 LIST_AGE_MS => info.list_age = Some(read_number(&bytes)?),
-                OPS => info.ops = read_number(&bytes)?,
-                _ if kept + bytes.len() <= UNKNOWN_BYTES => {
+                OPS => info.ops_digest = read_number(&bytes)?,
+                _ if kept + bytes.len() <= MAX_UNKNOWN_BYTES => {
                     kept += bytes.len();
-                    info.unknown.push((tag, bytes));
+                    info.unknown_fields.push((tag, bytes));
                 }
                 _ => {}
             }
@@ -329,7 +330,7 @@
             id: self.id,
             state_version: self.state_version,
             reported_by: self.reported_by,
-            since,
+            state_age: since,
             info,
         })
     }
@@ -344,7 +345,7 @@
 
 /// A short text without control characters.
 fn read_text(bytes: Vec<u8>) -> Option<Arc<str>> {
-    let text = String::from_utf8(bytes).ok().filter(|text| text.len() <= NAME_BYTES)?;
+    let text = String::from_utf8(bytes).ok().filter(|text| text.len() <= MAX_NAME_BYTES)?;
     (!text.chars().any(char::is_control)).then(|| text.into())
 }
 
@@ -360,12 +361,18 @@
 
 /// A record as a test writes it.
 #[doc(hidden)]
-pub fn example(id: &str, generation: u64, seq: u32, state: MemberState) -> MemberRecord {
+pub fn example_record(id: &str, generation: u64, seq: u32, state: MemberState) -> MemberRecord {
     let address = SocketAddr::from(([127, 0, 0, 1], 7401));
     let info =
         MemberInfo { zone: "zagreb".into(), version: "0.2.0".into(), ready: true, ..MemberInfo::at(address) };
     let state_version = StateVersion { incarnation: Incarnation { generation, nonce: 77 }, seq, state };
-    MemberRecord { id: MemberId::new(id).expect("an id"), state_version, reported_by: None, since: 0, info }
+    MemberRecord {
+        id: MemberId::new(id).expect("an id"),
+        state_version,
+        reported_by: None,
+        state_age: 0,
+        info,
+    }
 }
 
 #[cfg(test)]
--- a/crates/fleet/src/codec/tests.rs
+++ b/crates/fleet/src/codec/tests.rs
@@ -5,18 +5,19 @@
 use super::*;
 
 fn frame() -> Frame {
-    let mut from = example("n1", 3, 4, MemberState::Alive);
-    from.info = MemberInfo { calls: 70_000, list_age: Some(0), ops: u64::MAX, age: 5_000_000, ..from.info };
-    let mut down = example("n2", 1, 9, MemberState::Down);
-    (down.reported_by, down.since) = (MemberId::new("n3"), 7_000_000);
+    let mut from = example_record("n1", 3, 4, MemberState::Alive);
+    from.info =
+        MemberInfo { calls: 70_000, list_age: Some(0), ops_digest: u64::MAX, uptime: 5_000_000, ..from.info };
+    let mut down = example_record("n2", 1, 9, MemberState::Down);
+    (down.reported_by, down.state_age) = (MemberId::new("n3"), 7_000_000);
     Frame {
         kind: FrameKind::PingRequest,
         from,
-        to: 9,
+        receiver_nonce: 9,
         counter: 12,
-        probe: 13,
+        probe_id: 13,
         target: MemberId::new("n4").map(|id| (id, SocketAddr::from(([127, 0, 0, 1], 9)))),
-        you: Some(example("n2", 1, 1, MemberState::Suspect).state_version),
+        receiver_version: Some(example_record("n2", 1, 1, MemberState::Suspect).state_version),
         digest: 14,
         records: vec![down],
     }
@@ -33,11 +34,11 @@
 #[test]
 fn unknown_fields_are_kept_within_the_bound() {
     let mut told = frame();
-    told.from.info.unknown = vec![(200, vec![1, 2, 3]), (201, vec![0; UNKNOWN_BYTES])];
+    told.from.info.unknown_fields = vec![(200, vec![1, 2, 3]), (201, vec![0; MAX_UNKNOWN_BYTES])];
     let read = decode(&encode(&told, &Key::none()), MAX_DATAGRAM_BYTES, &Key::none()).unwrap();
-    assert_eq!(read.from.info.unknown, vec![(200, vec![1, 2, 3])]);
+    assert_eq!(read.from.info.unknown_fields, vec![(200, vec![1, 2, 3])]);
     let again = decode(&encode(&read, &Key::none()), MAX_DATAGRAM_BYTES, &Key::none()).unwrap();
-    assert_eq!(again.from.info.unknown, read.from.info.unknown);
+    assert_eq!(again.from.info.unknown_fields, read.from.info.unknown_fields);
 }
 
 #[test]
@@ -62,7 +63,7 @@
     let with = encode(&whole, &Key::none()).len();
     whole.records.clear();
     let one = (with - encode(&whole, &Key::none()).len()) / 8;
-    let reckoned = size(&frame().records[0]);
+    let reckoned = estimated_record_size(&frame().records[0]);
     assert!(one <= reckoned && reckoned <= one * 3, "{one} bytes, reckoned as {reckoned}");
 }
 
--- a/crates/fleet/src/lease/lease_manager.rs
+++ b/crates/fleet/src/lease/lease_manager.rs
@@ -187,7 +187,7 @@
 
 /// Rendezvous hashing: each resource ranks the members in an order of its own.
 fn rendezvous_hash(resource: &ResourceName, process: &ProcessId) -> u64 {
-    crate::codec::digest(format!("{resource} {}", process.member).as_bytes())
+    crate::codec::file_digest(format!("{resource} {}", process.member).as_bytes())
 }
 
 #[cfg(test)]
--- a/crates/fleet/src/lease/mod.rs
+++ b/crates/fleet/src/lease/mod.rs
@@ -19,7 +19,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Micros;
-use crate::member::{MemberId, NAME_BYTES};
+use crate::member::{MAX_NAME_BYTES, MemberId};
 use crate::quorum::machine::StateMachine;
 
 /// Maximum number of resources; further ones are not assigned.
@@ -36,7 +36,7 @@
 
 /// A text that is no resource's name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("no resource's name: give 1 to {NAME_BYTES} printable characters without spaces")]
+#[error("no resource's name: give 1 to {MAX_NAME_BYTES} printable characters without spaces")]
 pub struct InvalidResourceName;
 
 /// The name of a resource, as in `release` or `trial/s-3`.
@@ -48,7 +48,7 @@
     /// A name of 1 to 48 printable characters without spaces; `None`: the text is none.
     pub fn new(text: &str) -> Option<ResourceName> {
         let is_printable = text.bytes().all(|byte| byte.is_ascii_graphic());
-        let is_name = is_printable && (1..=NAME_BYTES).contains(&text.len());
+        let is_name = is_printable && (1..=MAX_NAME_BYTES).contains(&text.len());
         is_name.then(|| ResourceName(text.into()))
     }
 
--- a/crates/fleet/src/live_instances.rs
+++ b/crates/fleet/src/live_instances.rs
@@ -13,7 +13,7 @@
     /// Members that are alive or suspect, this one included.
     pub live: u32,
     /// Members that are down, and neither left nor came back.
-    pub unseen: u32,
+    pub down: u32,
     /// No suspect and no change of late.
     pub is_settled: bool,
     /// Another member has been heard since the start.
@@ -52,10 +52,10 @@
     /// The number that the membership asks for. Down members may be at work behind a partition, and a process that has heard
     /// nobody yet cannot tell a small fleet from a partition.
     fn wanted(&self, summary: MembershipSummary) -> u32 {
-        if summary.unseen == 0 && summary.has_joined {
+        if summary.down == 0 && summary.has_joined {
             summary.live.max(1)
         } else {
-            (summary.live + summary.unseen).max(self.floor)
+            (summary.live + summary.down).max(self.floor)
         }
     }
 
--- a/crates/fleet/src/live_instances/tests.rs
+++ b/crates/fleet/src/live_instances/tests.rs
@@ -7,7 +7,7 @@
 const BOUND: Micros = 10;
 
 fn summary(live: u32, unseen: u32) -> MembershipSummary {
-    MembershipSummary { live, unseen, is_settled: true, has_joined: true }
+    MembershipSummary { live, down: unseen, is_settled: true, has_joined: true }
 }
 
 #[test]
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -12,13 +12,13 @@
 use crate::Micros;
 
 /// The longest id, zone and version, in bytes.
-pub const NAME_BYTES: usize = 48;
+pub const MAX_NAME_BYTES: usize = 48;
 /// Fields of a newer version that are passed on unread: so many bytes of one member; further ones are left out.
-pub const UNKNOWN_BYTES: usize = 64;
+pub const MAX_UNKNOWN_BYTES: usize = 64;
 
 /// A text that is no member's id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("no member's id: give 1 to {NAME_BYTES} letters, digits, dots, dashes or underscores")]
+#[error("no member's id: give 1 to {MAX_NAME_BYTES} letters, digits, dots, dashes or underscores")]
 pub struct InvalidMemberId;
 
 /// A member's id: the same after a restart.
@@ -30,7 +30,7 @@
     /// An id: 1 to 48 letters, digits, dots, dashes or underscores.
     pub fn new(text: &str) -> Option<MemberId> {
         let fits = |b: u8| b.is_ascii_alphanumeric() || b"._-".contains(&b);
-        ((1..=NAME_BYTES).contains(&text.len()) && text.bytes().all(fits)).then(|| MemberId(text.into()))
+        ((1..=MAX_NAME_BYTES).contains(&text.len()) && text.bytes().all(fits)).then(|| MemberId(text.into()))
     }
 
     /// As text.
@@ -83,7 +83,7 @@
 
 impl MemberState {
     /// Counted as there.
-    pub fn live(self) -> bool {
+    pub fn is_live(self) -> bool {
         matches!(self, MemberState::Alive | MemberState::Suspect)
     }
 
@@ -119,7 +119,7 @@
     /// Its program's version.
     pub version: Arc<str>,
     /// How long it had run when it sent this.
-    pub age: Micros,
+    pub uptime: Micros,
     /// It takes clients.
     pub ready: bool,
     /// Operators have taken it out of service.
@@ -131,9 +131,9 @@
     /// The age of its list of servers, in milliseconds; `None`: it has none.
     pub list_age: Option<u64>,
     /// Digest of its operators' file; 0: it has none.
-    pub ops: u64,
+    pub ops_digest: u64,
     /// Fields of a newer version, as they came.
-    pub unknown: Vec<(u8, Vec<u8>)>,
+    pub unknown_fields: Vec<(u8, Vec<u8>)>,
 }
 
 impl MemberInfo {
@@ -143,20 +143,20 @@
             zone: "".into(),
             address,
             version: "".into(),
-            age: 0,
+            uptime: 0,
             ready: false,
             draining: false,
             leaving: false,
             calls: 0,
             list_age: None,
-            ops: 0,
-            unknown: Vec::new(),
+            ops_digest: 0,
+            unknown_fields: Vec::new(),
         }
     }
 
     /// What others have to hear of soon: all but figures that change with every call.
     pub(crate) fn urgent_fields(&self) -> (bool, bool, bool, SocketAddr, u64, &str) {
-        (self.ready, self.draining, self.leaving, self.address, self.ops, &self.zone)
+        (self.ready, self.draining, self.leaving, self.address, self.ops_digest, &self.zone)
     }
 }
 
@@ -170,7 +170,7 @@
     /// Who said suspect or down first; `None`: the member itself.
     pub reported_by: Option<MemberId>,
     /// For how long it has been so, where it is down or left.
-    pub since: Micros,
+    pub state_age: Micros,
     /// The member's last information about itself.
     pub info: MemberInfo,
 }
--- a/crates/fleet/src/member/tests.rs
+++ b/crates/fleet/src/member/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn ids_are_bounded_and_of_plain_characters() {
-    for bad in ["", "a b", "ž", "a/b", &"x".repeat(NAME_BYTES + 1)] {
+    for bad in ["", "a b", "ž", "a/b", &"x".repeat(MAX_NAME_BYTES + 1)] {
         assert_eq!(MemberId::new(bad), None, "{bad}");
     }
     assert!(MemberId::new("osijek-2.b_1").is_some());
--- a/crates/fleet/src/membership/duplicate_id.rs
+++ b/crates/fleet/src/membership/duplicate_id.rs
@@ -22,7 +22,7 @@
     /// Where it says that it is reached.
     pub address: SocketAddr,
     /// How long it had run when that was last told.
-    pub age: Micros,
+    pub uptime: Micros,
 }
 
 /// What to do about a incarnation above our own.
--- a/crates/fleet/src/membership/failure_detector.rs
+++ b/crates/fleet/src/membership/failure_detector.rs
@@ -78,7 +78,7 @@
     fn probe_next(&mut self, now: Micros, period: Micros, out: &mut Vec<Action>) {
         for _ in 0..2 {
             while let Some(target) = self.probe_order.pop_front() {
-                let Some(entry) = self.table.get(&target).filter(|e| e.state().live()) else { continue };
+                let Some(entry) = self.table.get(&target).filter(|e| e.state().is_live()) else { continue };
                 let address = entry.record.info.address;
                 let id = self.next_probe_number();
                 let (indirect, deadline) = (now + period * 2 / 5, now + period * 9 / 10);
@@ -121,7 +121,7 @@
     /// Drawn among those that were heard of late, if there are any: the others may be behind the same cut.
     fn helpers(&mut self, now: Micros, target: &MemberId) -> Vec<Destination> {
         let recent = |at: Micros| now.saturating_sub(at) <= self.config.period * HELPER_HEARD_PERIODS;
-        let heard = |e: &MemberEntry| e.state() == MemberState::Alive && e.heard.is_some_and(recent);
+        let heard = |e: &MemberEntry| e.state() == MemberState::Alive && e.last_heard.is_some_and(recent);
         let fit = self.table.entries.iter().filter(|(id, e)| *id != target && heard(e));
         let fit: Vec<Destination> =
             fit.map(|(id, e)| Destination::Member(id.clone(), e.record.info.address)).collect();
@@ -197,7 +197,7 @@
         }
         let suspects = self.table.suspects();
         let over: Vec<MemberRecord> = suspects
-            .filter(|(_, _, s)| now >= s.since + self.suspicion_timeout(s.by.len().max(1)))
+            .filter(|(_, _, s)| now >= s.since + self.suspicion_timeout(s.reporters.len().max(1)))
             .map(|(_, e, _)| e.record.clone())
             .collect();
         for mut record in over {
@@ -217,15 +217,15 @@
         let mut due: Vec<(Micros, MemberId)> = self
             .table
             .suspects()
-            .filter(|(_, _, s)| now >= s.asked + self.config.period)
-            .filter(|(_, _, s)| now >= s.since + self.suspicion_timeout(s.by.len().max(1)) / 2)
-            .map(|(id, _, s)| (s.asked, id.clone()))
+            .filter(|(_, _, s)| now >= s.last_probed + self.config.period)
+            .filter(|(_, _, s)| now >= s.since + self.suspicion_timeout(s.reporters.len().max(1)) / 2)
+            .map(|(id, _, s)| (s.last_probed, id.clone()))
             .collect();
         due.sort();
         for (_, id) in due.into_iter().take(MAX_LAST_PROBES_PER_PERIOD / super::TICKS_PER_PERIOD as usize) {
             let Some(entry) = self.table.entries.get_mut(&id) else { continue };
             if let Some(suspicion) = &mut entry.suspicion {
-                suspicion.asked = now;
+                suspicion.last_probed = now;
             }
             let (whom, record) = (to(&entry.record), entry.record.clone());
             let number = self.next_probe_number();
--- a/crates/fleet/src/membership/frames.rs
+++ b/crates/fleet/src/membership/frames.rs
@@ -5,8 +5,8 @@
 impl Membership {
     pub(super) fn own_record(&self, now: Micros) -> MemberRecord {
         let state_version = StateVersion { incarnation: self.incarnation, seq: self.seq, state: self.state };
-        let info = MemberInfo { age: now - self.started, ..self.info.clone() };
-        MemberRecord { id: self.config.id.clone(), state_version, reported_by: None, since: 0, info }
+        let info = MemberInfo { uptime: now - self.started, ..self.info.clone() };
+        MemberRecord { id: self.config.id.clone(), state_version, reported_by: None, state_age: 0, info }
     }
 
     pub(super) fn new_frame(
@@ -41,11 +41,11 @@
         Frame {
             kind,
             from: self.own_record(now),
-            to: to.map_or(0, |(_, incarnation)| incarnation.nonce),
+            receiver_nonce: to.map_or(0, |(_, incarnation)| incarnation.nonce),
             counter: self.counter,
-            probe,
+            probe_id: probe,
             target: None,
-            you,
+            receiver_version: you,
             digest: self.digest(now),
             records,
         }
@@ -75,14 +75,14 @@
         let mut frame =
             self.new_frame(now, kind, held.as_ref().map(|(id, incarnation)| (id, *incarnation)), probe);
         if down {
-            frame.to = 0;
+            frame.receiver_nonce = 0;
         }
         frame.target = target;
         out.push(Action::Datagram(to, Box::new(frame)));
     }
 
     pub(super) fn is_live(&self, id: &MemberId) -> bool {
-        self.table.get(id).is_some_and(|e| e.state().live())
+        self.table.get(id).is_some_and(|e| e.state().is_live())
     }
 
     pub(super) fn next_probe_number(&mut self) -> u64 {
@@ -96,7 +96,7 @@
 
     /// Random live members, `count` at most, without one.
     pub(super) fn random_live(&mut self, count: usize, without: Option<&MemberId>) -> Vec<Destination> {
-        let live = self.table.entries.iter().filter(|(id, e)| e.state().live() && Some(*id) != without);
+        let live = self.table.entries.iter().filter(|(id, e)| e.state().is_live() && Some(*id) != without);
         let all = live.map(|(id, e)| Destination::Member(id.clone(), e.record.info.address)).collect();
         self.choose_random(all, count)
     }
--- a/crates/fleet/src/membership/gossip.rs
+++ b/crates/fleet/src/membership/gossip.rs
@@ -15,12 +15,12 @@
         out: &mut Vec<Action>,
     ) {
         let (id, incarnation, address) = (from.id.clone(), from.state_version.incarnation, from.info.address);
-        let was_there = self.table.get(&id).is_some_and(|e| e.state().live());
+        let was_there = self.table.get(&id).is_some_and(|e| e.state().is_live());
         self.merge_record(now, from, out);
         if let Some(entry) = self.table.entries.get_mut(&id)
             && entry.record.state_version.incarnation == incarnation
         {
-            entry.heard = Some(now);
+            entry.last_heard = Some(now);
         }
         let mentions_self =
             records.iter().any(|r| r.id == self.config.id && r.state_version.incarnation != self.incarnation);
@@ -30,7 +30,7 @@
         if let Some(state_version) = you.filter(|_| !mentions_self) {
             self.handle_own_record(now, state_version, None, out);
         }
-        let is_there = self.table.get(&id).is_some_and(|e| e.state().live());
+        let is_there = self.table.get(&id).is_some_and(|e| e.state().is_live());
         // Who was unseen or unknown may bring a whole half of the fleet along.
         let first = !std::mem::replace(&mut self.has_joined, true);
         if is_there && (first || !was_there) {
@@ -69,12 +69,12 @@
     /// Stores the first record about a member, unless the member failed or left too long ago to be listed.
     fn insert_new_record(&mut self, now: Micros, record: MemberRecord, out: &mut Vec<Action>) {
         let id = record.id.clone();
-        let is_live = record.state_version.state.live();
-        if !is_live && record.since >= self.config.memory {
+        let is_live = record.state_version.state.is_live();
+        if !is_live && record.state_age >= self.config.retention {
             return;
         }
         if !self.table.insert(now, record) {
-            return out.push(Action::Notify(Event::Full(id)));
+            return out.push(Action::Notify(Event::TableFull(id)));
         }
         self.record_change(now);
         if is_live {
@@ -102,8 +102,8 @@
         }
         let age = now - self.started;
         let stalled =
-            self.stalled_at.is_some_and(|at| now - at < self.config.period * 10) && told.state.live();
-        let its_age = record.map(|r| r.info.age);
+            self.stalled_at.is_some_and(|at| now - at < self.config.period * 10) && told.state.is_live();
+        let its_age = record.map(|r| r.info.uptime);
         let verdict =
             self.superseded.judge(self.incarnation.nonce, age, told.incarnation.nonce, its_age, stalled);
         if let (Verdict::SupersedeDuplicate | Verdict::Yield, Some(record)) = (verdict, record) {
@@ -132,7 +132,7 @@
         let duplicate = DuplicateProcess {
             nonce: told.incarnation.nonce,
             address: record.info.address,
-            age: record.info.age,
+            uptime: record.info.uptime,
         };
         if self.duplicate.is_none_or(|known| known.nonce != duplicate.nonce) {
             out.push(Action::Notify(Event::DuplicateId(duplicate)));
@@ -246,7 +246,7 @@
     }
     let reporter = reporter.unwrap_or_else(|| id.clone());
     Some(match new.state {
-        MemberState::Alive => Event::Back(id),
+        MemberState::Alive => Event::Recovered(id),
         MemberState::Suspect => Event::Suspected(id, reporter),
         MemberState::Down => Event::Down(id, reporter),
         MemberState::Left => Event::Left(id),
--- a/crates/fleet/src/membership/mod.rs
+++ b/crates/fleet/src/membership/mod.rs
@@ -44,11 +44,11 @@
     /// Whom to contact first.
     pub seeds: Vec<SocketAddr>,
     /// Members that are looked for by name.
-    pub known: Vec<(MemberId, SocketAddr)>,
+    pub configured: Vec<(MemberId, SocketAddr)>,
     /// From one probe to the next.
     pub period: Micros,
     /// For how long members that are down are remembered.
-    pub memory: Micros,
+    pub retention: Micros,
     /// Drawn anew at each start; not 0.
     pub nonce: u64,
 }
@@ -85,7 +85,7 @@
     /// The second says that the first is down.
     Down(MemberId, MemberId),
     /// It is there again, or was all the time.
-    Back(MemberId),
+    Recovered(MemberId),
     /// It said that it goes.
     Left(MemberId),
     /// Others doubted this one, and it said that it is there.
@@ -101,7 +101,7 @@
     /// All live members are known, as far as this one can tell, and nothing changed of late.
     Settled(usize),
     /// A member was not taken in: the table is full.
-    Full(MemberId),
+    TableFull(MemberId),
 }
 
 /// Frames that were dropped, by cause.
@@ -110,7 +110,7 @@
     /// Played again, or meant for an earlier start of this process.
     pub replayed: u64,
     /// Sent to a process that stands by.
-    pub unwanted: u64,
+    pub in_standby: u64,
 }
 
 /// A member as operators see it.
@@ -121,9 +121,9 @@
     /// Its state.
     pub state: MemberState,
     /// Its generation.
-    pub incarnation: u64,
+    pub generation: u64,
     /// How long ago it was heard itself; `None`: never, or it is this one.
-    pub heard: Option<Micros>,
+    pub last_heard_age: Option<Micros>,
     /// Who said so, where it is suspect or down.
     pub reported_by: Option<MemberId>,
     /// Its last information about itself.
@@ -262,7 +262,7 @@
         }
         // A frame for an earlier incarnation of this process: its sender may not know this one yet and is answered, but the
         // frame's content is ignored.
-        let is_stale = frame.to != 0 && frame.to != self.incarnation.nonce;
+        let is_stale = frame.receiver_nonce != 0 && frame.receiver_nonce != self.incarnation.nonce;
         if is_stale && frame.kind != FrameKind::Ping {
             self.drop_counters.replayed += 1;
             return;
@@ -272,7 +272,17 @@
 
     /// Handles a frame that is not a replay.
     fn handle_new_frame(&mut self, now: Micros, frame: Frame, is_stale: bool, out: &mut Vec<Action>) {
-        let Frame { kind, from, counter, probe, target, you, digest, records, .. } = frame;
+        let Frame {
+            kind,
+            from,
+            counter,
+            probe_id: probe,
+            target,
+            receiver_version: you,
+            digest,
+            records,
+            ..
+        } = frame;
         let sender = from.clone();
         let incarnation = sender.state_version.incarnation;
         let held = self.table.state_version(&from.id);
@@ -318,7 +328,7 @@
         };
         let receiver = Some((&sender.id, sender.state_version.incarnation));
         let mut frame = self.new_frame(now, answer, receiver, probe);
-        frame.you = earlier.or(frame.you);
+        frame.receiver_version = earlier.or(frame.receiver_version);
         out.push(Action::Datagram(to(sender), Box::new(frame)));
     }
 
@@ -358,7 +368,7 @@
                 self.request_exchange(now, to, 1, out);
             }
         }
-        self.table.forget_expired(now, self.config.memory);
+        self.table.forget_expired(now, self.config.retention);
         let settled = self.is_settled(now);
         if settled && !self.has_reported_settled {
             out.push(Action::Notify(Event::Settled(self.table.live + 1)));
@@ -395,14 +405,14 @@
     /// Pings members that are not seen: a random one of those that are down, forgotten or configured, and the seeds.
     fn search_unseen(&mut self, now: Micros, out: &mut Vec<Action>) {
         let alone = self.table.live == 0;
-        let live = |id: &MemberId| self.table.get(id).is_some_and(|e| e.state().live());
+        let live = |id: &MemberId| self.table.get(id).is_some_and(|e| e.state().is_live());
         let down = self.table.entries.iter().filter(|(_, e)| e.state() == MemberState::Down);
         let unseen: Vec<Destination> = down
             .map(|(id, e)| Destination::Member(id.clone(), e.record.info.address))
             .chain(self.table.forgotten.iter().map(|(id, at)| Destination::Member(id.clone(), *at)))
             .chain(
                 self.config
-                    .known
+                    .configured
                     .iter()
                     .filter(|(id, _)| !live(id))
                     .map(|(id, at)| Destination::Member(id.clone(), *at)),
--- a/crates/fleet/src/membership/report.rs
+++ b/crates/fleet/src/membership/report.rs
@@ -16,7 +16,7 @@
     }
 
     /// Whether this is this member's id.
-    pub fn is_self(&self, id: &MemberId) -> bool {
+    pub fn is_own_id(&self, id: &MemberId) -> bool {
         self.config.id == *id
     }
 
@@ -41,7 +41,7 @@
     }
 
     /// Members that are live, this one included, and those that are down.
-    pub fn counts(&self) -> (usize, usize) {
+    pub fn member_counts(&self) -> (usize, usize) {
         let down = self.table.entries.values().filter(|e| e.state() == MemberState::Down).count();
         (self.table.live + usize::from(self.is_active()), down)
     }
@@ -52,16 +52,16 @@
         let me = MemberReport {
             id: me.id,
             state: me.state_version.state,
-            incarnation: me.state_version.incarnation.generation,
-            heard: None,
+            generation: me.state_version.incarnation.generation,
+            last_heard_age: None,
             reported_by: None,
             info: me.info,
         };
         let others = self.table.entries.iter().map(|(id, e)| MemberReport {
             id: id.clone(),
             state: e.state(),
-            incarnation: e.record.state_version.incarnation.generation,
-            heard: e.heard.map(|at| now.saturating_sub(at)),
+            generation: e.record.state_version.incarnation.generation,
+            last_heard_age: e.last_heard.map(|at| now.saturating_sub(at)),
             reported_by: e.record.reported_by.clone(),
             info: e.record.info.clone(),
         });
@@ -72,7 +72,7 @@
 
     /// Ids of the live ones, by id, this one among them.
     pub fn live_members(&self) -> Vec<MemberId> {
-        let others = self.table.entries.iter().filter(|(_, e)| e.state().live()).map(|(id, _)| id.clone());
+        let others = self.table.entries.iter().filter(|(_, e)| e.state().is_live()).map(|(id, _)| id.clone());
         let mut all: Vec<MemberId> = others.chain(self.is_active().then(|| self.config.id.clone())).collect();
         all.sort();
         all
--- a/crates/fleet/src/membership/standby.rs
+++ b/crates/fleet/src/membership/standby.rs
@@ -8,23 +8,23 @@
     /// start, once.
     pub(super) fn handle_frame_in_standby(&mut self, now: Micros, mut frame: Frame, out: &mut Vec<Action>) {
         if let (FrameKind::Ping, 0, None, Some(duplicate)) =
-            (frame.kind, frame.to, &frame.target, self.duplicate)
+            (frame.kind, frame.receiver_nonce, &frame.target, self.duplicate)
             && frame.from.id != self.config.id
         {
             frame.target = Some((self.config.id.clone(), duplicate.address));
             return out.push(Action::Datagram(Destination::Address(duplicate.address), Box::new(frame)));
         }
         if frame.kind != FrameKind::Ack
-            || frame.probe != self.last_probe
-            || frame.to != self.incarnation.nonce
+            || frame.probe_id != self.last_probe
+            || frame.receiver_nonce != self.incarnation.nonce
         {
-            self.drop_counters.unwanted += 1;
+            self.drop_counters.in_standby += 1;
             return;
         }
         // Down, left or forgotten; of whichever incarnation, since the others may all have started anew meanwhile. Where the answer was
         // a late one, the two settle it again.
-        if frame.you.is_none_or(|you| !you.state.live()) {
-            let held = frame.you.map_or(0, |you| you.incarnation.generation);
+        if frame.receiver_version.is_none_or(|you| !you.state.is_live()) {
+            let held = frame.receiver_version.map_or(0, |you| you.incarnation.generation);
             self.incarnation.generation = held.max(self.incarnation.generation) + 1;
             self.last_duplicate_address = self.duplicate.take().map(|duplicate| duplicate.address);
             self.is_standby = false;
@@ -47,7 +47,7 @@
             now,
             FrameKind::Ack,
             Some((&frame.from.id, frame.from.state_version.incarnation)),
-            frame.probe,
+            frame.probe_id,
         );
         answer.records.clear();
         out.push(Action::Datagram(Destination::Sender, Box::new(answer)));
--- a/crates/fleet/src/membership/table.rs
+++ b/crates/fleet/src/membership/table.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 
 use crate::Micros;
-use crate::codec::{self, PIGGYBACK_BYTES};
+use crate::codec::{self, MAX_PIGGYBACK_BYTES};
 use crate::member::{Incarnation, MemberId, MemberRecord, MemberState, StateVersion};
 
 /// Maximum number of members known at a time.
@@ -23,9 +23,9 @@
 pub(super) struct Suspicion {
     pub since: Micros,
     /// The first and those who confirmed it; at most four.
-    pub by: Vec<MemberId>,
+    pub reporters: Vec<MemberId>,
     /// When it was last probed to give it a last chance.
-    pub asked: Micros,
+    pub last_probed: Micros,
 }
 
 /// Which of a sender's frames were seen: the highest counter and the 64 before it. Guards against frames that are played
@@ -60,7 +60,7 @@
     /// Since when it is in its state.
     pub since: Micros,
     /// When a frame of its own came last.
-    pub heard: Option<Micros>,
+    pub last_heard: Option<Micros>,
     pub suspicion: Option<Suspicion>,
     window: Window,
     /// Its place among those that are still to be passed on.
@@ -76,8 +76,8 @@
 
     /// The record as it is told now.
     fn current_record(&self, now: Micros) -> MemberRecord {
-        let since = if self.state().live() { 0 } else { now.saturating_sub(self.since) };
-        MemberRecord { since, ..self.record.clone() }
+        let since = if self.state().is_live() { 0 } else { now.saturating_sub(self.since) };
+        MemberRecord { state_age: since, ..self.record.clone() }
     }
 }
 
@@ -109,15 +109,15 @@
             return false;
         }
         let state = record.state_version.state;
-        let since = now.saturating_sub(record.since);
+        let since = now.saturating_sub(record.state_age);
         let suspicion = (state == MemberState::Suspect).then(|| Suspicion {
             since: now,
-            by: record.reported_by.iter().cloned().collect(),
-            asked: now,
+            reporters: record.reported_by.iter().cloned().collect(),
+            last_probed: now,
         });
-        let digest = if state.live() { digest_of(&record) } else { 0 };
+        let digest = if state.is_live() { digest_of(&record) } else { 0 };
         let window = Window::default();
-        let fresh = MemberEntry { record, since, heard: None, suspicion, window, queued: None, digest };
+        let fresh = MemberEntry { record, since, last_heard: None, suspicion, window, queued: None, digest };
         let old = self.entries.remove(&id);
         self.digest ^= digest ^ old.as_ref().map_or(0, |old| old.digest);
         if let Some(at) = old.as_ref().and_then(|old| old.queued) {
@@ -127,7 +127,7 @@
         let entry = match old {
             // What one process was heard to say counts for that process only.
             Some(old) if old.record.state_version.incarnation == fresh.record.state_version.incarnation => {
-                MemberEntry { heard: old.heard, window: old.window, ..fresh }
+                MemberEntry { last_heard: old.last_heard, window: old.window, ..fresh }
             }
             _ => fresh,
         };
@@ -141,7 +141,7 @@
         if self.entries.len() < MAX_MEMBERS {
             return true;
         }
-        let gone = self.entries.iter().filter(|(_, e)| !e.state().live());
+        let gone = self.entries.iter().filter(|(_, e)| !e.state().is_live());
         let oldest = gone.max_by_key(|(_, e)| now.saturating_sub(e.since)).map(|(id, _)| id.clone());
         oldest.is_some_and(|id| {
             self.forget(&id);
@@ -150,13 +150,13 @@
     }
 
     fn count(&mut self, id: &MemberId, old: Option<MemberState>, new: Option<MemberState>) {
-        let live = |s: Option<MemberState>| usize::from(s.is_some_and(MemberState::live));
+        let live = |s: Option<MemberState>| usize::from(s.is_some_and(MemberState::is_live));
         if new == Some(MemberState::Suspect) {
             self.suspect_ids.insert(id.clone());
         } else {
             self.suspect_ids.remove(id);
         }
-        if new.is_some_and(|s| !s.live()) {
+        if new.is_some_and(|s| !s.is_live()) {
             self.forget_at = 0;
         }
         self.live = self.live + live(new) - live(old);
@@ -174,10 +174,10 @@
     pub fn confirm(&mut self, id: &MemberId, by: &MemberId) -> bool {
         let Some(entry) = self.entries.get_mut(id) else { return false };
         let Some(suspicion) = &mut entry.suspicion else { return false };
-        if suspicion.by.len() >= 4 || suspicion.by.contains(by) {
+        if suspicion.reporters.len() >= 4 || suspicion.reporters.contains(by) {
             return false;
         }
-        suspicion.by.push(by.clone());
+        suspicion.reporters.push(by.clone());
         entry.record.reported_by = Some(by.clone());
         self.queue_gossip(id);
         true
@@ -199,13 +199,13 @@
     /// What the next frame carries of others: the least told first, within the bound in bytes.
     pub fn take_gossip(&mut self, now: Micros) -> Vec<MemberRecord> {
         let max_sends = GOSSIP_FACTOR * ((self.live + 2) as f64).log2().ceil() as u32;
-        let (mut room, mut records, mut taken) = (PIGGYBACK_BYTES, Vec::new(), Vec::new());
+        let (mut room, mut records, mut taken) = (MAX_PIGGYBACK_BYTES, Vec::new(), Vec::new());
         while let Some(first) = self.queue.first_entry() {
             let Some(entry) = self.entries.get_mut(first.get()) else {
                 first.remove();
                 continue;
             };
-            let size = codec::size(&entry.record);
+            let size = codec::estimated_record_size(&entry.record);
             if size > room {
                 break;
             }
@@ -244,13 +244,13 @@
         if now < self.forget_at {
             return;
         }
-        let old = |e: &MemberEntry| !e.state().live() && now.saturating_sub(e.since) >= after;
+        let old = |e: &MemberEntry| !e.state().is_live() && now.saturating_sub(e.since) >= after;
         let gone: Vec<MemberId> =
             self.entries.iter().filter(|(_, e)| old(e)).map(|(id, _)| id.clone()).collect();
         for id in gone {
             self.forget(&id);
         }
-        let next = self.entries.values().filter(|e| !e.state().live()).map(|e| e.since).min();
+        let next = self.entries.values().filter(|e| !e.state().is_live()).map(|e| e.since).min();
         self.forget_at = next.map_or(Micros::MAX, |since| since.saturating_add(after));
     }
 
--- a/crates/fleet/tests/formats.rs
+++ b/crates/fleet/tests/formats.rs
@@ -114,7 +114,10 @@
 fn membership_frame_of_the_earlier_version_is_read_and_written(#[case] bytes: &[u8]) {
     let key = Key::from_bytes(KEY);
     let frame = codec::decode(bytes, MAX_DATAGRAM_BYTES, &key).expect("a frame of this version");
-    assert_eq!((frame.to, frame.counter, frame.probe, frame.digest, frame.records.len()), (9, 12, 13, 14, 2));
+    assert_eq!(
+        (frame.receiver_nonce, frame.counter, frame.probe_id, frame.digest, frame.records.len()),
+        (9, 12, 13, 14, 2)
+    );
     assert_eq!(codec::encode(&frame, &key), bytes);
 }
 
--- a/src/fleet/runtime.rs
+++ b/src/fleet/runtime.rs
@@ -162,9 +162,9 @@
         version: env!("CARGO_PKG_VERSION").into(),
         address,
         seeds: set.seeds.clone(),
-        known: set.known.clone(),
+        configured: set.known.clone(),
         period: set.period,
-        memory: set.memory,
+        retention: set.memory,
         nonce,
     }
 }
@@ -324,10 +324,10 @@
                 let mut membership = self.membership.borrow_mut();
                 membership.update_info(now, self.own_info(admin), &mut out);
                 membership.tick(now, &mut out);
-                let (live, down) = membership.counts();
+                let (live, down) = membership.member_counts();
                 let summary = MembershipSummary {
                     live: live as u32,
-                    unseen: down as u32,
+                    down: down as u32,
                     is_settled: membership.is_settled(now),
                     has_joined: membership.has_joined(),
                 };
@@ -352,7 +352,7 @@
             leaving: admin.is_shutting_down(),
             calls: u32::try_from(admin.calls()).unwrap_or(u32::MAX),
             list_age: age,
-            ops: self.ops,
+            ops_digest: self.ops,
             ..MemberInfo::at(self.address.get())
         }
     }
--- a/src/fleet/runtime/events.rs
+++ b/src/fleet/runtime/events.rs
@@ -8,14 +8,14 @@
             Event::Joined(id) => tracing::info!(target: "fleet", member = %id, "joined"),
             Event::Suspected(id, by) => tracing::info!(target: "fleet", member = %id, %by, "suspect"),
             Event::Down(id, by) => tracing::warn!(target: "fleet", member = %id, %by, "down"),
-            Event::Back(id) => tracing::info!(target: "fleet", member = %id, "back"),
+            Event::Recovered(id) => tracing::info!(target: "fleet", member = %id, "back"),
             Event::Left(id) => tracing::info!(target: "fleet", member = %id, "left"),
             Event::Refuted => tracing::info!(target: "fleet", "was doubted, and says that it is there"),
             Event::Stalled(missed) => {
                 tracing::warn!(target: "fleet", missed_ms = missed / 1000, "missed time: doubts itself, and not the others");
             }
             Event::DuplicateId(duplicate) => {
-                let (address, age_ms) = (duplicate.address, duplicate.age / 1000);
+                let (address, age_ms) = (duplicate.address, duplicate.uptime / 1000);
                 tracing::error!(target: "fleet", id = %self.set.id, %address, age_ms, "another process runs under this id");
             }
             Event::YieldedToDuplicate(duplicate) => {
@@ -28,7 +28,7 @@
                 tracing::warn!(target: "fleet", id = %self.set.id, "the id is free: speaks again")
             }
             Event::Settled(live) => tracing::info!(target: "fleet", live, "settled"),
-            Event::Full(id) => {
+            Event::TableFull(id) => {
                 tracing::warn!(target: "fleet", member = %id, "the table is full: not taken in")
             }
         }
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 
 use cobaltspool_fleet::codec::Key;
-use cobaltspool_fleet::member::{MemberId, NAME_BYTES};
+use cobaltspool_fleet::member::{MAX_NAME_BYTES, MemberId};
 use schemars::JsonSchema;
 use serde::Deserialize;
 use serde_json::Value;
@@ -175,7 +175,7 @@
                 "id",
                 at,
                 said,
-                &format!("write 1 to {NAME_BYTES} letters, digits, dots, dashes or underscores"),
+                &format!("write 1 to {MAX_NAME_BYTES} letters, digits, dots, dashes or underscores"),
             );
         }
         id
@@ -187,8 +187,8 @@
     }
 
     fn zone(&mut self, at: Path, zone: &str) {
-        if zone.len() > NAME_BYTES || zone.chars().any(char::is_control) {
-            let text = format!("a zone's name has {NAME_BYTES} bytes at most, and no control characters");
+        if zone.len() > MAX_NAME_BYTES || zone.chars().any(char::is_control) {
+            let text = format!("a zone's name has {MAX_NAME_BYTES} bytes at most, and no control characters");
             self.wrong("zone", at, text, "write a shorter name, as in \"zagreb\"");
         }
     }
--- a/src/fleet/status.rs
+++ b/src/fleet/status.rs
@@ -166,9 +166,9 @@
         consensus: Option<Consensus>,
     ) -> Status {
         let members = membership.members(now);
-        let me = members.iter().find(|m| membership.is_self(&m.id));
+        let me = members.iter().find(|m| membership.is_own_id(&m.id));
         let duplicate =
-            membership.duplicate().map(|t| DuplicateProcess { address: t.address, age_ms: t.age / 1000 });
+            membership.duplicate().map(|t| DuplicateProcess { address: t.address, age_ms: t.uptime / 1000 });
         Status {
             id: me.map(|m| m.id.to_string()).unwrap_or_default(),
             settled: membership.is_settled(now),
@@ -291,16 +291,16 @@
             state: shown.state.name().to_string(),
             zone: news.zone.to_string(),
             address: news.address,
-            incarnation: shown.incarnation,
+            incarnation: shown.generation,
             version: news.version.to_string(),
-            heard_ms: shown.heard.map(|t| t / 1000),
+            heard_ms: shown.last_heard_age.map(|t| t / 1000),
             by: shown.reported_by.map(|by| by.to_string()),
             ready: news.ready,
             draining: news.draining,
             leaving: news.leaving,
             calls: news.calls,
             list_age_ms: news.list_age,
-            ops: format!("{:016x}", news.ops),
+            ops: format!("{:016x}", news.ops_digest),
         }
     }
 }
--- a/src/sections.rs
+++ b/src/sections.rs
@@ -53,7 +53,7 @@
     if report.refused {
         return Err(report);
     }
-    let digest = cobaltspool_fleet::codec::digest(text.as_bytes());
+    let digest = cobaltspool_fleet::codec::file_digest(text.as_bytes());
     Ok(Ops { log: log.settings(), plan: limits.plan(), fleet: fleet.part(), digest, report })
 }
 
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -356,16 +356,16 @@
     let calls = Calls::at(&gates(&site.fleet, 0..2));
     let at = site.fleet.members[0].address();
     let noise = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let dead = codec::example("n1", 99, 0, MemberState::Down);
-    let record = codec::example("n2", 99, 9, MemberState::Alive);
+    let dead = codec::example_record("n1", 99, 0, MemberState::Down);
+    let record = codec::example_record("n2", 99, 9, MemberState::Alive);
     let frame = Frame {
         kind: FrameKind::Gossip,
         from: record,
-        to: 0,
+        receiver_nonce: 0,
         counter: 1,
-        probe: 0,
+        probe_id: 0,
         target: None,
-        you: None,
+        receiver_version: None,
         digest: 0,
         records: vec![dead],
     };
@@ -432,16 +432,17 @@
     let before = site.fleet.members[0].memory();
     let (at, key) = (site.fleet.members[0].address(), Key::from_bytes(&site.fleet.key()));
     for round in 0..5 {
-        let records =
-            (0..300).map(|n| codec::example(&format!("member-{n}"), 1, round, MemberState::Alive)).collect();
+        let records = (0..300)
+            .map(|n| codec::example_record(&format!("member-{n}"), 1, round, MemberState::Alive))
+            .collect();
         let frame = Frame {
             kind: FrameKind::FullState,
-            from: codec::example("member-0", 1, round, MemberState::Alive),
-            to: 0,
+            from: codec::example_record("member-0", 1, round, MemberState::Alive),
+            receiver_nonce: 0,
             counter: 1,
-            probe: 0,
+            probe_id: 0,
             target: None,
-            you: None,
+            receiver_version: None,
             digest: 0,
             records,
         };
