--- a/crates/fleet-sim/src/quorum.rs
+++ b/crates/fleet-sim/src/quorum.rs
@@ -326,7 +326,7 @@
                     }
                 }
                 if !node.stopped {
-                    self.with(n, |voter, now, out| voter.handle_written(now, number, out));
+                    self.with(n, |voter, now, out| voter.handle_write_completed(now, number, out));
                 } else {
                     // It hears of it when it goes on.
                     let runs = node.runs;
@@ -368,7 +368,9 @@
     pub fn leader(&self) -> Option<usize> {
         let leads = |n: &Node| {
             !n.stopped
-                && n.voter.as_ref().is_some_and(|v| v.role() == Role::Leader && v.hears_majority(self.now))
+                && n.voter
+                    .as_ref()
+                    .is_some_and(|v| v.role() == Role::Leader && v.has_active_majority(self.now))
         };
         self.nodes.iter().position(leads)
     }
--- a/crates/fleet-sim/tests/model.rs
+++ b/crates/fleet-sim/tests/model.rs
@@ -54,7 +54,7 @@
             match next {
                 Action::Write { number, records: _ } => {
                     let mut more = Vec::new();
-                    self.voters[n].handle_written(0, number, &mut more);
+                    self.voters[n].handle_write_completed(0, number, &mut more);
                     out.extend(more);
                 }
                 // One on its way is as good as two of the same.
--- a/crates/fleet-testkit/src/effect_recorder.rs
+++ b/crates/fleet-testkit/src/effect_recorder.rs
@@ -51,7 +51,7 @@
                 let mut checked = guard.check(Effect::new(item.clone(), token, ()));
                 if checked.as_ref().err() == Some(&FencingError::UnknownToken) {
                     // It started before the first grant: nothing is known to be there.
-                    guard.learn_token(&item, 0);
+                    guard.record_current_token(&item, 0);
                     checked = guard.check(Effect::new(item, token, ()));
                 }
                 let done = checked.map(|checked| checked.carry_out(|()| ())).is_ok() || !is_guarded;
--- a/crates/fleet/src/lease/fencing.rs
+++ b/crates/fleet/src/lease/fencing.rs
@@ -42,7 +42,7 @@
 /// Why an effect is not carried out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FencingError {
-    /// The current token is not known yet: ask a majority, then call [`FencingGuard::learn_token`] and check again.
+    /// The current token is not known yet: ask a majority, then call [`FencingGuard::record_current_token`] and check again.
     #[error("the resource's current token is not known yet")]
     UnknownToken,
     /// A later owner is known.
@@ -61,7 +61,7 @@
 
 impl FencingGuard {
     /// A majority says that this is the resource's current token, at a moment after this receiver had started.
-    pub fn learn_token(&mut self, resource: &ResourceName, token: u64) {
+    pub fn record_current_token(&mut self, resource: &ResourceName, token: u64) {
         if self.tokens.len() >= MAX_RESOURCES && !self.tokens.contains_key(resource) {
             return; // there are no more resources than that; its effects stay unknown
         }
--- a/crates/fleet/src/lease/fencing/tests.rs
+++ b/crates/fleet/src/lease/fencing/tests.rs
@@ -10,11 +10,11 @@
 fn lower_token_is_not_carried_out_after_a_higher_one() {
     let (mut guard, resource) = (FencingGuard::default(), ResourceName::new("release").unwrap());
     assert_eq!(guard.check(effect(5)).err(), Some(FencingError::UnknownToken), "it has just started");
-    guard.learn_token(&resource, 4);
+    guard.record_current_token(&resource, 4);
     assert_eq!(guard.check(effect(4)).map(|c| c.carry_out(|e| e)).unwrap(), 4);
     assert_eq!(guard.check(effect(7)).map(|c| c.carry_out(|e| e)).unwrap(), 7);
     assert_eq!(guard.check(effect(4)).err(), Some(FencingError::StaleToken { current: 7 }));
-    guard.learn_token(&resource, 6);
+    guard.record_current_token(&resource, 6);
     let late = guard.check(effect(6)).err();
     assert_eq!(late, Some(FencingError::StaleToken { current: 7 }), "an answer that came late");
 }
--- a/crates/fleet/src/lease/lease_holder.rs
+++ b/crates/fleet/src/lease/lease_holder.rs
@@ -63,7 +63,7 @@
     }
 
     /// Asks for a resource from now on.
-    pub fn want(&mut self, resource: ResourceName) {
+    pub fn add_wanted(&mut self, resource: ResourceName) {
         self.wanted.insert(resource);
     }
 
--- a/crates/fleet/src/lease/lease_manager.rs
+++ b/crates/fleet/src/lease/lease_manager.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug)]
 struct Requester {
     wanted: BTreeSet<ResourceName>,
-    last_heard_at: Micros,
+    last_contact_at: Micros,
 }
 
 /// A change that was proposed to the log and is not applied yet.
@@ -24,7 +24,7 @@
     /// The token before it.
     expected_token: u64,
     /// The resource is to be nobody's.
-    frees: bool,
+    is_release: bool,
 }
 
 /// The leader's leases, from its election on.
@@ -61,7 +61,7 @@
             self.requesters.remove(&request.requester);
         } else if is_known || self.requesters.len() < MAX_REQUESTERS {
             let wanted = request.wanted.iter().cloned().collect();
-            let requester = Requester { wanted, last_heard_at: now };
+            let requester = Requester { wanted, last_contact_at: now };
             self.requesters.insert(request.requester.clone(), requester);
         }
         for OwnedResource { resource, token } in &request.released {
@@ -93,32 +93,34 @@
     /// The changes to propose next, a bounded number at a time: released resources are freed, then those that are nobody's or
     /// whose lease is over are assigned.
     pub fn next_changes(&mut self, now: Micros, table: &LeaseTable) -> Vec<OwnershipChange> {
-        self.forget_outdated(now, table);
-        let mut changes = self.changes_to_free();
-        self.add_changes_to_assign(now, table, &mut changes);
+        self.remove_outdated(now, table);
+        let mut changes = self.release_changes();
+        self.add_assignments(now, table, &mut changes);
         for change in &changes {
-            let proposed =
-                ProposedChange { expected_token: change.expected_token, frees: change.new_owner.is_none() };
+            let proposed = ProposedChange {
+                expected_token: change.expected_token,
+                is_release: change.new_owner.is_none(),
+            };
             self.proposed.insert(change.resource.clone(), proposed);
         }
         changes
     }
 
     /// Forgets requesters that have fallen silent and changes that were applied or overtaken.
-    fn forget_outdated(&mut self, now: Micros, table: &LeaseTable) {
+    fn remove_outdated(&mut self, now: Micros, table: &LeaseTable) {
         let lease = self.lease;
-        self.requesters.retain(|_, requester| now.saturating_sub(requester.last_heard_at) < lease);
+        self.requesters.retain(|_, requester| now.saturating_sub(requester.last_contact_at) < lease);
         let has_owner = |resource: &ResourceName| {
             table.get(resource).is_some_and(|assignment| assignment.owner.is_some())
         };
         self.proposed.retain(|resource, proposed| {
             let is_unapplied = table.token(resource) == proposed.expected_token;
-            is_unapplied && (!proposed.frees || has_owner(resource))
+            is_unapplied && (!proposed.is_release || has_owner(resource))
         });
         self.released.retain(|resource, token| has_owner(resource) && table.token(resource) == *token);
     }
 
-    fn changes_to_free(&self) -> Vec<OwnershipChange> {
+    fn release_changes(&self) -> Vec<OwnershipChange> {
         let unproposed = self.released.iter().filter(|(resource, _)| !self.proposed.contains_key(*resource));
         let change = |(resource, token): (&ResourceName, &u64)| OwnershipChange {
             resource: resource.clone(),
@@ -128,7 +130,7 @@
         unproposed.take(MAX_CHANGES_PER_COMMAND).map(change).collect()
     }
 
-    fn add_changes_to_assign(&mut self, now: Micros, table: &LeaseTable, changes: &mut Vec<OwnershipChange>) {
+    fn add_assignments(&mut self, now: Micros, table: &LeaseTable, changes: &mut Vec<OwnershipChange>) {
         let mut load = self.load_by_requester(table);
         let requesters = self.requesters.values();
         let wanted: BTreeSet<ResourceName> =
--- a/crates/fleet/src/quorum/election.rs
+++ b/crates/fleet/src/quorum/election.rs
@@ -7,7 +7,7 @@
 impl Voter {
     /// Whether a leader was heard within an election timeout, or this voter leads.
     pub(super) fn has_leader(&self, now: Micros) -> bool {
-        let is_recent = now.saturating_sub(self.leader_heard_at) < self.config.election_timeout;
+        let is_recent = now.saturating_sub(self.leader_contact_at) < self.config.election_timeout;
         self.role == Role::Leader || self.leader.is_some() && is_recent
     }
 
@@ -30,7 +30,7 @@
 
     pub(super) fn record_leader_contact(&mut self, now: Micros, from: &MemberId, actions: &mut Vec<Action>) {
         self.become_follower(Some(from.clone()), actions);
-        self.leader_heard_at = now;
+        self.leader_contact_at = now;
         self.reset_election_deadline(now);
     }
 
@@ -42,7 +42,7 @@
         }
         // One that is behind what it may have promised would be elected by nobody who remembers.
         if self.log.last() < self.promised {
-            return self.survey_logs(actions);
+            return self.request_log_positions(actions);
         }
         self.become_follower(None, actions);
         self.votes = vec![self.config.id.clone()];
@@ -138,7 +138,7 @@
         self.role = Role::Leader;
         self.leader = None;
         let next_index = self.log.last().index + 1;
-        let progress = Progress { next_index, last_heard_at: now, ..Progress::default() };
+        let progress = Progress { next_index, last_contact_at: now, ..Progress::default() };
         self.progress = self.others().into_iter().map(|id| (id, progress)).collect();
         actions.push(Action::Notify(Event::BecameLeader { term: self.hard_state.term }));
         self.append_command(None, actions);
--- a/crates/fleet/src/quorum/machine.rs
+++ b/crates/fleet/src/quorum/machine.rs
@@ -57,12 +57,12 @@
             return (last.seq == *seq).then(|| last.answer.clone());
         }
         let answer = self.machine.apply(index, body);
-        self.make_room_for(*session);
+        self.evict_oldest_session_for(*session);
         self.sessions.insert(*session, Session { seq: *seq, index, answer: answer.clone() });
         Some(answer)
     }
 
-    fn make_room_for(&mut self, session: u64) {
+    fn evict_oldest_session_for(&mut self, session: u64) {
         if self.sessions.len() < MAX_SESSIONS || self.sessions.contains_key(&session) {
             return;
         }
--- a/crates/fleet/src/quorum/mod.rs
+++ b/crates/fleet/src/quorum/mod.rs
@@ -9,7 +9,7 @@
 //! is known.
 //!
 //! What must be on disk before a message leaves is decided here: a message that states a promise is delayed until
-//! [`Voter::handle_written`] reports the write that it rests on.
+//! [`Voter::handle_write_completed`] reports the write that it rests on.
 //!
 //! | file | concern |
 //! | --- | --- |
@@ -64,7 +64,7 @@
     match_index: u64,
     /// The last heartbeat that it has answered.
     acked_round: u64,
-    last_heard_at: Micros,
+    last_contact_at: Micros,
 }
 
 /// Random numbers for election timeouts; states that differ in them only are the same to a model checker.
@@ -122,11 +122,11 @@
     /// `Some` until it has rejoined.
     rejoin: Option<RejoinState>,
     /// What each other voter holds, where nobody leads and this one is behind its promise.
-    log_survey: BTreeMap<MemberId, LogPosition>,
+    peer_log_positions: BTreeMap<MemberId, LogPosition>,
     is_read_only: bool,
     role: Role,
     leader: Option<MemberId>,
-    leader_heard_at: Micros,
+    leader_contact_at: Micros,
     election_deadline: Micros,
     commit_index: u64,
     /// Who has voted for it, while it is a candidate or pre-candidate.
@@ -139,7 +139,7 @@
     pending_reads: VecDeque<PendingRead>,
     /// Number of the last write that was requested, and of the last that is done.
     last_write: u64,
-    last_done_write: u64,
+    last_completed_write: u64,
     pending_writes: VecDeque<PendingWrite>,
     /// Up to where the log is on disk.
     durable_index: u64,
@@ -164,11 +164,11 @@
             promised: promised.max(last),
             incarnation: Incarnation { number: earlier + 1, nonce: config.nonce },
             rejoin: None,
-            log_survey: BTreeMap::new(),
+            peer_log_positions: BTreeMap::new(),
             is_read_only: false,
             role: Role::Follower,
             leader: None,
-            leader_heard_at: now,
+            leader_contact_at: now,
             election_deadline: now,
             commit_index: log.base().index,
             votes: Vec::new(),
@@ -177,7 +177,7 @@
             heartbeat_round: 0,
             pending_reads: VecDeque::new(),
             last_write: 0,
-            last_done_write: 0,
+            last_completed_write: 0,
             pending_writes: VecDeque::new(),
             durable_index: last.index,
             delayed_messages: VecDeque::new(),
@@ -221,7 +221,7 @@
         if self.is_read_only {
             VoterStatus::ReadOnly
         } else if self.rejoin.is_some() || self.log.last() < self.promised {
-            VoterStatus::Amnesiac
+            VoterStatus::CatchingUp
         } else {
             VoterStatus::Voting
         }
@@ -248,17 +248,17 @@
     }
 
     /// Whether it leads, and the others that were heard within an election timeout are a majority with it.
-    pub fn hears_majority(&self, now: Micros) -> bool {
+    pub fn has_active_majority(&self, now: Micros) -> bool {
         let timeout = self.config.election_timeout;
-        let is_heard = |progress: &&Progress| now.saturating_sub(progress.last_heard_at) < timeout;
+        let is_heard = |progress: &&Progress| now.saturating_sub(progress.last_contact_at) < timeout;
         self.role == Role::Leader && self.progress.values().filter(is_heard).count() + 1 >= self.majority()
     }
 
     /// Whether a leader was heard of late, or this voter is one that hears a majority.
-    pub fn sees_majority(&self, now: Micros) -> bool {
-        let is_recent = now.saturating_sub(self.leader_heard_at) < self.config.election_timeout * 2;
+    pub fn is_connected_to_majority(&self, now: Micros) -> bool {
+        let is_recent = now.saturating_sub(self.leader_contact_at) < self.config.election_timeout * 2;
         let follows = self.leader.is_some() && is_recent;
-        self.status() == VoterStatus::Voting && (self.hears_majority(now) || follows)
+        self.status() == VoterStatus::Voting && (self.has_active_majority(now) || follows)
     }
 
     /// When it wants the next tick.
@@ -281,7 +281,7 @@
             return self.send_rejoin_requests(now, actions);
         }
         if self.role == Role::Leader {
-            if self.config.checks.check_quorum && !self.hears_majority(now) {
+            if self.config.checks.check_quorum && !self.has_active_majority(now) {
                 self.reset_election_deadline(now);
                 return self.become_follower(None, actions);
             }
@@ -374,11 +374,11 @@
     }
 
     /// The disk has done all writes up to this number.
-    pub fn handle_written(&mut self, now: Micros, number: u64, actions: &mut Vec<Action>) {
+    pub fn handle_write_completed(&mut self, now: Micros, number: u64, actions: &mut Vec<Action>) {
         if self.is_read_only {
             return;
         }
-        self.last_done_write = self.last_done_write.max(number);
+        self.last_completed_write = self.last_completed_write.max(number);
         while let Some(write) = pop_front_if(&mut self.pending_writes, |write| write.number <= number) {
             self.durable_index = write.last_index;
         }
@@ -427,7 +427,7 @@
 
     /// Whether all requested writes are on disk.
     fn is_durable(&self) -> bool {
-        self.last_done_write >= self.last_write || !self.config.checks.durable_before_send
+        self.last_completed_write >= self.last_write || !self.config.checks.durable_before_send
     }
 
     fn message(&self, to: &MemberId, term: u64, body: MessageBody) -> Message {
--- a/crates/fleet/src/quorum/rejoin.rs
+++ b/crates/fleet/src/quorum/rejoin.rs
@@ -54,11 +54,11 @@
             return;
         }
         self.election_deadline = now + self.config.election_timeout / REQUESTS_PER_ELECTION_TIMEOUT;
-        self.survey_logs(actions);
+        self.request_log_positions(actions);
     }
 
     /// Asks all others what they hold: at a rejoin, or where nobody leads and this voter may have promised more than it holds.
-    pub(super) fn survey_logs(&mut self, actions: &mut Vec<Action>) {
+    pub(super) fn request_log_positions(&mut self, actions: &mut Vec<Action>) {
         for to in self.others() {
             self.send_when_durable(&to, MessageBody::RejoinRequest, actions);
         }
@@ -88,7 +88,7 @@
                 actions.push(Action::Notify(Event::DuplicateId(*incarnation)));
                 self.start_rejoin(now, actions);
             } else {
-                self.forget_promises_of(id);
+                self.discard_promises_of(id);
             }
         }
         if has_changed {
@@ -98,7 +98,7 @@
     }
 
     /// Nothing that an earlier incarnation of a voter promised counts any more.
-    fn forget_promises_of(&mut self, id: &MemberId) {
+    fn discard_promises_of(&mut self, id: &MemberId) {
         if self.role != Role::Leader {
             self.votes.retain(|voter| voter != id);
         }
@@ -131,10 +131,10 @@
             return;
         };
         let own = self.log.last();
-        let Some(rejoin) = &mut self.rejoin else { return self.handle_survey_response(from, last) };
+        let Some(rejoin) = &mut self.rejoin else { return self.handle_log_position(from, last) };
         if remembered.term > self.hard_state.term || remembered.index > own.index {
-            let held = LogPosition { term: self.hard_state.term, index: own.index };
-            let event = Event::StateLost { reported_by: from.clone(), remembered, held };
+            let recovered = LogPosition { term: self.hard_state.term, index: own.index };
+            let event = Event::StateLost { reported_by: from.clone(), reported: remembered, recovered };
             actions.push(Action::Notify(event));
         }
         rejoin.term = rejoin.term.max(term);
@@ -145,16 +145,16 @@
     }
 
     /// Where nobody leads: once all others have said what they hold, a promise that none of them holds is lowered.
-    fn handle_survey_response(&mut self, from: MemberId, last: LogPosition) {
+    fn handle_log_position(&mut self, from: MemberId, last: LogPosition) {
         let own = self.log.last();
         if own >= self.promised {
             return;
         }
-        self.log_survey.insert(from, last);
-        if self.log_survey.len() == self.config.voters.len() - 1 {
-            let furthest = self.log_survey.values().copied().fold(own, LogPosition::max);
+        self.peer_log_positions.insert(from, last);
+        if self.peer_log_positions.len() == self.config.voters.len() - 1 {
+            let furthest = self.peer_log_positions.values().copied().fold(own, LogPosition::max);
             self.promised = self.promised.min(furthest);
-            self.log_survey.clear();
+            self.peer_log_positions.clear();
         }
     }
 
@@ -175,7 +175,7 @@
             self.hard_state.voted_for = Some(self.config.id.clone());
             self.write_hard_state(actions);
         }
-        self.leader_heard_at = now;
+        self.leader_contact_at = now;
         self.reset_election_deadline(now);
         actions.push(Action::Notify(Event::Rejoined));
     }
--- a/crates/fleet/src/quorum/replicate.rs
+++ b/crates/fleet/src/quorum/replicate.rs
@@ -183,7 +183,7 @@
             remembered.index = remembered.index.max(index);
         }
         let Some(progress) = self.progress.get_mut(&from) else { return };
-        progress.last_heard_at = now;
+        progress.last_contact_at = now;
         progress.acked_round = progress.acked_round.max(round);
         if matches {
             progress.match_index = progress.match_index.max(index.min(last));
--- a/crates/fleet/src/quorum/types.rs
+++ b/crates/fleet/src/quorum/types.rs
@@ -234,7 +234,7 @@
     Voting,
     /// It may have forgotten what it promised: it has not rejoined since its start, or has not caught up with the furthest
     /// position that it was told then. Until it has caught up it leads nobody, and votes only for who has.
-    Amnesiac,
+    CatchingUp,
     /// Its disk fails: it takes part no more until it is started anew.
     ReadOnly,
 }
@@ -244,7 +244,7 @@
     pub fn name(self) -> &'static str {
         match self {
             VoterStatus::Voting => "voting",
-            VoterStatus::Amnesiac => "amnesiac",
+            VoterStatus::CatchingUp => "amnesiac",
             VoterStatus::ReadOnly => "read-only",
         }
     }
@@ -253,7 +253,7 @@
 /// What the voter wants done. Actions are carried out in order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Write these records, and report it by [`handle_written`](super::Voter::handle_written) with this number.
+    /// Write these records, and report it by [`handle_write_completed`](super::Voter::handle_write_completed) with this number.
     Write {
         /// The write's number; numbers grow.
         number: u64,
@@ -311,14 +311,14 @@
     SteppedDown,
     /// It has rejoined the voters after its start.
     Rejoined,
-    /// Another voter remembers more of this one than its disk does.
+    /// Another voter has seen a higher term or index of this voter than the disk held at the start.
     StateLost {
-        /// The other.
+        /// The other voter.
         reported_by: MemberId,
-        /// What the other remembers.
-        remembered: LogPosition,
-        /// What is held here.
-        held: LogPosition,
+        /// The highest term and index that the other voter has seen of this one.
+        reported: LogPosition,
+        /// The term and index recovered from the disk.
+        recovered: LogPosition,
     },
     /// Another process votes under this id, or did a moment ago.
     DuplicateId(Incarnation),
--- a/crates/fleet/src/wal.rs
+++ b/crates/fleet/src/wal.rs
@@ -134,7 +134,7 @@
 pub enum WalError {
     /// It is no such file.
     #[error("its log is no log of a fleet; move it away")]
-    NotALog,
+    UnrecognizedFile,
     /// A newer version wrote it.
     #[error("its log has format {0}, of a newer version; start that one")]
     NewerFormat(u16),
@@ -197,7 +197,7 @@
 
 impl Recovery {
     /// Takes a record whose head is readable.
-    fn take_record(&mut self, head: &RecordHead, body: &[u8]) {
+    fn recover_record(&mut self, head: &RecordHead, body: &[u8]) {
         match head.read_body(body) {
             Some(record) => {
                 let joins_log = self.contents.apply(record);
@@ -214,7 +214,7 @@
     }
 
     /// Takes the records of a file, behind its header.
-    fn take_records(&mut self, bytes: &[u8]) {
+    fn recover_records(&mut self, bytes: &[u8]) {
         let mut at = 0;
         while at < bytes.len() {
             let Some(head) = RecordHead::read(&bytes[at..]) else {
@@ -227,7 +227,7 @@
             };
             let body_at = at + RECORD_HEAD_BYTES;
             let Some(body) = bytes.get(body_at..body_at + head.body_length) else { break };
-            self.take_record(&head, body);
+            self.recover_record(&head, body);
             at = body_at + head.body_length;
         }
         self.damage.torn_bytes = bytes.len() - at;
@@ -247,14 +247,18 @@
         // A header that was not written to its end holds nothing yet.
         let is_torn = bytes.len() < HEADER_BYTES && header().starts_with(bytes);
         let damage = Damage { torn_bytes: bytes.len(), ..Damage::default() };
-        return if is_torn { Ok((RecoveredState::default(), damage)) } else { Err(WalError::NotALog) };
+        return if is_torn {
+            Ok((RecoveredState::default(), damage))
+        } else {
+            Err(WalError::UnrecognizedFile)
+        };
     };
     match u16::from_le_bytes(*format) {
         FORMAT => {}
         newer => return Err(WalError::NewerFormat(newer)),
     }
     let mut recovery = Recovery::default();
-    recovery.take_records(records);
+    recovery.recover_records(records);
     let Recovery { contents: WalContents { hard_state, log }, promised, damage } = recovery;
     let promised = promised.max(log.last());
     let is_intact = damage.unreadable_records == 0 && !records.is_empty();
--- a/crates/fleet/src/wal/tests.rs
+++ b/crates/fleet/src/wal/tests.rs
@@ -66,7 +66,7 @@
 
 #[test]
 fn foreign_and_newer_files_are_refused() {
-    assert_eq!(recover(b"something else"), Err(WalError::NotALog));
+    assert_eq!(recover(b"something else"), Err(WalError::UnrecognizedFile));
     assert_eq!(recover(&[&MAGIC[..], &[9, 0]].concat()), Err(WalError::NewerFormat(9)));
     assert_eq!(recover(b"").unwrap().0, RecoveredState::default());
     assert!(!recover(b"").unwrap().0.is_intact);
--- a/crates/fleet/tests/leases.rs
+++ b/crates/fleet/tests/leases.rs
@@ -76,7 +76,7 @@
         let start = |(n, clock): (usize, &Clock)| {
             let process = ProcessId { member: MemberId::new(&format!("n{n}")).unwrap(), nonce: 1 };
             let mut holder = LeaseHolder::new(clock.at(0), process, LEASE);
-            resources().into_iter().for_each(|resource| holder.want(resource));
+            resources().into_iter().for_each(|resource| holder.add_wanted(resource));
             holder
         };
         World {
--- a/src/fleet/consensus_node.rs
+++ b/src/fleet/consensus_node.rs
@@ -172,7 +172,7 @@
 
     /// Asks for a resource from now on.
     pub fn want(&self, resource: ResourceName) {
-        self.state.borrow_mut().lease_holder.want(resource);
+        self.state.borrow_mut().lease_holder.add_wanted(resource);
     }
 
     /// Releases all that it owns and returns what is to be sent.
@@ -212,7 +212,7 @@
         let Some(voter) = &mut state.voter else { return };
         let mut actions = Vec::new();
         match event {
-            StoreEvent::Written { number } => voter.handle_written(now, number, &mut actions),
+            StoreEvent::Written { number } => voter.handle_write_completed(now, number, &mut actions),
             StoreEvent::Failed(error) => {
                 let fault = error.to_string();
                 tracing::error!(target: "fleet", fault, "this voter is read-only");
@@ -418,9 +418,9 @@
                 tracing::info!(target: "fleet", %leader, term, "follows");
             }
             Event::Rejoined => tracing::info!(target: "fleet", "has rejoined the voters"),
-            Event::StateLost { reported_by, remembered, held } => tracing::error!(
-                target: "fleet", by = %reported_by, term = remembered.term, index = remembered.index, own_term = held.term,
-                own_index = held.index,
+            Event::StateLost { reported_by, reported, recovered } => tracing::error!(
+                target: "fleet", by = %reported_by, term = reported.term, index = reported.index, own_term = recovered.term,
+                own_index = recovered.index,
                 "this voter's disk has forgotten what it had promised: amnesiac until it has caught up"
             ),
             Event::DuplicateId(incarnation) => {
--- a/src/fleet/consensus_node/report.rs
+++ b/src/fleet/consensus_node/report.rs
@@ -17,7 +17,7 @@
         let owners =
             if state.voter.is_some() { state.all_owners(now) } else { self.own_resources(&state, now) };
         status::Consensus {
-            majority: state.voter.as_ref().map_or(was_answered, |voter| voter.sees_majority(now)),
+            majority: state.voter.as_ref().map_or(was_answered, |voter| voter.is_connected_to_majority(now)),
             voter: state.report_voter(),
             owners,
         }
