--- a/benches/limits.rs
+++ b/benches/limits.rs
@@ -1,5 +1,5 @@
-//! Limits measured: a number's route by the trie and by the plain list it stands for, a whole file read and checked, and a
-//! set-up through the core with limits and without. `cargo bench --bench limits`.
+//! Benchmarks of the limits: look-up of a number's route in the trie and in a plain list, reading and checking a file, and
+//! one call through the core with and without limits. Run with `cargo bench --bench limits`.
 
 use std::hint::black_box;
 use std::rc::Rc;
@@ -8,12 +8,12 @@
 use bytes::Bytes;
 use cobaltspool::gateway::{AttemptId, Gateway, Input, SetupRequest};
 use cobaltspool::limits::trie::Trie;
-use cobaltspool::limits::{Ceilings, ClassInfo, Live};
+use cobaltspool::limits::{Ceilings, ClassInfo, Limiter};
 use cobaltspool::sections;
 use cobaltspool::*;
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 
-/// Prefixes as plans of numbers have them: of 3 to 8 digits, each once.
+/// Distinct prefixes of 3 to 8 digits, as in a numbering plan.
 fn prefixes(count: usize) -> Vec<String> {
     let mut all: Vec<String> = (0..count)
         .map(|n| {
@@ -30,7 +30,7 @@
     (0..1_000u64).map(|n| format!("{:016x}", n.wrapping_mul(0xd134_2543_de82_ef95))).collect()
 }
 
-fn lookup(c: &mut Criterion) {
+fn look_up_route(c: &mut Criterion) {
     let numbers = numbers();
     let mut group = c.benchmark_group("route of a number");
     for size in [10, 1_000, 100_000] {
@@ -38,7 +38,7 @@
         let trie = Trie::new(prefixes.iter().zip(0u32..).map(|(p, n)| (p.as_str(), n)));
         let mut next = numbers.iter().cycle();
         group.bench_with_input(BenchmarkId::new("trie", size), &trie, |b, trie| {
-            b.iter(|| trie.along(black_box(next.next().unwrap())).flatten().copied().last());
+            b.iter(|| trie.prefix_values(black_box(next.next().unwrap())).flatten().copied().last());
         });
         let mut next = numbers.iter().cycle();
         group.bench_with_input(BenchmarkId::new("plain list", size), &prefixes, |b, prefixes| {
@@ -56,8 +56,12 @@
 }
 
 fn ceilings() -> Ceilings {
-    let class =
-        |name: &str| ClassInfo { name: name.into(), patience: 9_000_000, repeatable: true, pools: None };
+    let class = |name: &str| ClassInfo {
+        name: name.into(),
+        max_wait: 9_000_000,
+        is_idempotent: true,
+        allowed_pools: None,
+    };
     Ceilings {
         attempts: 4,
         release_wait: 500_000,
@@ -66,7 +70,7 @@
     }
 }
 
-fn file(routes: usize) -> String {
+fn ops_file(routes: usize) -> String {
     let mut text =
         "{limits: {default: {attempts: 3}, classes: {order: {time_out: '2s'}}, routes: [\n".to_string();
     for (n, prefix) in prefixes(routes).iter().enumerate() {
@@ -78,11 +82,11 @@
     text + "]}}"
 }
 
-fn load(c: &mut Criterion) {
+fn read_and_check(c: &mut Criterion) {
     let mut group = c.benchmark_group("read and check a file");
     group.sample_size(10).measurement_time(Duration::from_secs(15));
     for size in [10, 1_000, 150_000] {
-        let text = file(size);
+        let text = ops_file(size);
         let routes = prefixes(size).len();
         group.bench_with_input(BenchmarkId::from_parameter(routes), &text, |b, text| {
             b.iter(|| {
@@ -118,16 +122,16 @@
     }
 }
 
-fn set_up(c: &mut Criterion) {
+fn handle_call(c: &mut Criterion) {
     let mut group = c.benchmark_group("a call through the core");
-    let text = file(100_000);
-    for with in ["no limits", "100000 routes"] {
-        group.bench_function(with, |b| {
+    let text = ops_file(100_000);
+    for variant in ["no limits", "100000 routes"] {
+        group.bench_function(variant, |b| {
             let names = ["check-setup".to_string(), "order".to_string()];
             let plan = sections::read_text("bench", &text, &ceilings(), None).map(|o| Rc::new(o.plan)).ok();
-            let plan = plan.filter(|_| with != "no limits");
-            let live = Live::of(plan, &settings(), &names, 7);
-            let mut gateway = Gateway::with_limits(settings(), live, 7);
+            let plan = plan.filter(|_| variant != "no limits");
+            let limiter = Limiter::from_plan_or_settings(plan, &settings(), &names, 7);
+            let mut gateway = Gateway::with_limits(settings(), limiter, 7);
             let (mut out, mut now, mut n) = (Vec::new(), 1_000_000_000u64, 0u64);
             let entries = (0..3)
                 .map(|s| ServerEntry {
@@ -145,7 +149,7 @@
             let numbers = numbers();
             b.iter(|| {
                 n += 1;
-                now += 20_000; // 50 calls a second
+                now += 20_000; // 50 calls per second
                 let call = CallId(n);
                 let set_up = SetupRequest {
                     call,
@@ -172,5 +176,5 @@
     group.finish();
 }
 
-criterion_group!(benches, lookup, load, set_up);
+criterion_group!(benches, look_up_route, read_and_check, handle_call);
 criterion_main!(benches);
--- a/src/config.rs
+++ b/src/config.rs
@@ -116,14 +116,14 @@
 impl Config {
     /// What the installation permits.
     pub fn ceilings(&self) -> Ceilings {
-        Ceilings::of(&self.settings, &self.classes, &self.max_waits, true)
+        Ceilings::from_settings(&self.settings, &self.classes, &self.max_waits, true)
     }
 }
 
 impl SipConfig {
     /// What the installation permits.
     pub fn ceilings(&self) -> Ceilings {
-        Ceilings::of(&self.settings, &self.classes, &vec![self.wait; self.classes.len()], false)
+        Ceilings::from_settings(&self.settings, &self.classes, &vec![self.wait; self.classes.len()], false)
     }
 }
 
--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::call_table::{CallState, InFlightAttempt};
 use super::{AttemptId, Command, ForbiddenReason, Gateway, InvariantViolation};
-use crate::limits::Verdict;
+use crate::limits::RetryDecision;
 use crate::{AttemptEnd, CallId, Cause, Event, LoadReport, Micros, Outcome, ServerId};
 
 /// How an attempt ended, as its server said or as is known without it.
@@ -38,7 +38,7 @@
         }
         let Some((entry, _)) = self.calls.pending_mut(call) else { return };
         let number = entry.attempts;
-        let max_timeout = entry.held.as_ref().and_then(|held| held.try_for).unwrap_or(Micros::MAX);
+        let max_timeout = entry.held.as_ref().and_then(|held| held.attempt_timeout).unwrap_or(Micros::MAX);
         let timeout = if timeout == 0 { max_timeout } else { timeout.min(max_timeout) };
         let expires_at = entry.deadline.min(now.saturating_add(timeout));
         let description = entry.description.clone();
@@ -126,19 +126,19 @@
 
     /// Tells the decision module that the call of an attempt is over.
     pub(super) fn notify_call_over_with(&mut self, call: CallId, attempt: InFlightAttempt, end: EndReport) {
-        let verdict = Verdict { rest: 0, again: true };
+        let verdict = RetryDecision { retry_delay: 0, may_retry: true };
         self.push_attempt_end(call, attempt, end, verdict, true);
     }
 
     /// Tells the decision module how an attempt ended whose call goes on, and what the limits say of a retry.
     pub(super) fn notify_attempt_ended(&mut self, call: CallId, attempt: InFlightAttempt, end: EndReport) {
-        let mut verdict = Verdict { rest: 0, again: true };
+        let mut verdict = RetryDecision { retry_delay: 0, may_retry: true };
         let now = self.now;
         if let Some((entry, _)) = self.calls.pending_mut(call) {
             if let Some(held) = &entry.held {
-                verdict = self.limits.after(now, held, end.outcome, entry.attempts);
+                verdict = self.limits.decide_retry(now, held, end.outcome, entry.attempts);
             }
-            entry.not_before = entry.not_before.max(now.saturating_add(verdict.rest));
+            entry.not_before = entry.not_before.max(now.saturating_add(verdict.retry_delay));
         }
         self.push_attempt_end(call, attempt, end, verdict, false);
     }
@@ -148,7 +148,7 @@
         call: CallId,
         attempt: InFlightAttempt,
         end: EndReport,
-        verdict: Verdict,
+        verdict: RetryDecision,
         is_call_over: bool,
     ) {
         self.pending_events.push_back(Event::AttemptEnded(AttemptEnd {
@@ -160,8 +160,8 @@
             elapsed: self.now.saturating_sub(attempt.sent_at),
             is_call_over,
             load: end.load,
-            retry_delay: verdict.rest,
-            may_retry: verdict.again,
+            retry_delay: verdict.retry_delay,
+            may_retry: verdict.may_retry,
         }));
     }
 }
--- a/src/gateway/call_table.rs
+++ b/src/gateway/call_table.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 
 use super::call_counters::{CallCounters, CallEnd};
-use crate::limits::Held;
+use crate::limits::Admission;
 use crate::{CallId, Micros, ServerId};
 
 /// An attempt that has no end yet: it has no answer, or its call is established.
@@ -51,7 +51,7 @@
     /// The caller's description; dropped once it is not needed.
     pub description: Bytes,
     /// The limits that apply to it and count it; dropped with the call. `None`: it was rejected at once.
-    pub held: Option<Held>,
+    pub held: Option<Admission>,
 }
 
 impl CallEntry {
@@ -192,7 +192,7 @@
     }
 
     /// Records the limits that apply to a call.
-    pub fn set_limits(&mut self, call: CallId, held: Held) {
+    pub fn set_limits(&mut self, call: CallId, held: Admission) {
         if let Some(entry) = self.calls.get_mut(&call) {
             entry.held = Some(held);
         }
@@ -202,7 +202,7 @@
     pub fn record_attempt(&mut self, call: CallId, attempt: InFlightAttempt) {
         if let Some(entry) = self.calls.get_mut(&call) {
             if let Some(held) = &entry.held {
-                held.sent(attempt.sent_at, attempt.number);
+                held.attempt_sent(attempt.sent_at, attempt.number);
             }
             entry.state = CallState::Pending(Some(attempt));
             entry.attempts = attempt.number + 1;
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -22,7 +22,7 @@
 pub use call_counters::ClassCounters;
 pub use interface::*;
 
-use crate::limits::Live;
+use crate::limits::Limiter;
 use crate::{Action, CallId, Controller, Event, Micros, ServerId, ServerStatus, Settings};
 use attempts::EndReport;
 use call_counters::CallEnd;
@@ -40,7 +40,7 @@
 pub struct Gateway {
     settings: Settings,
     policy: Controller,
-    limits: Live,
+    limits: Limiter,
     calls: CallTable,
     routing: RoutingTable,
     timers: BTreeSet<PolicyTimer>,
@@ -56,12 +56,12 @@
 impl Gateway {
     /// A gatekeeper that knows its settings and nothing else.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let limits = Live::bare(&settings);
+        let limits = Limiter::from_settings(&settings);
         Gateway::with_limits(settings, limits, seed)
     }
 
     /// The same with limits by route and class.
-    pub fn with_limits(settings: Settings, limits: Live, seed: u64) -> Self {
+    pub fn with_limits(settings: Settings, limits: Limiter, seed: u64) -> Self {
         Gateway {
             limits,
             policy: Controller::new(settings.clone(), seed),
@@ -118,7 +118,7 @@
                     self.calls.remove(call, 0, CallEnd::Released);
                 }
             }
-            Input::LimitsChanged(plan) => self.limits.replace(self.now, plan),
+            Input::LimitsChanged(plan) => self.limits.replace_plan(self.now, plan),
             Input::Tick | Input::Shutdown => {}
         }
     }
@@ -202,7 +202,7 @@
 
     /// Sets whether another process of this gatekeeper takes calls too, so that the limits are shared with it.
     pub fn set_limits_shared(&mut self, is_shared: bool) {
-        self.limits.share(self.now, is_shared);
+        self.limits.set_shared(self.now, is_shared);
     }
 
     fn fire_timers(&mut self, commands: &mut Vec<Command>) {
--- a/src/gateway/requests.rs
+++ b/src/gateway/requests.rs
@@ -3,7 +3,7 @@
 use super::call_counters::CallEnd;
 use super::call_table::{CallEntry, CallState};
 use super::{AttemptId, Command, Gateway, InvariantViolation, SetupRequest};
-use crate::limits::{Asked, Refusal};
+use crate::limits::{AdmissionRequest, Refusal};
 use crate::{CallId, Event, NewCall, Outcome};
 
 impl Gateway {
@@ -27,8 +27,9 @@
         if let Some(retry_after) = self.reject_new_calls {
             return self.reject(call, retry_after, commands);
         }
-        let asked = Asked { class, pool: first_choice.0, number: &request.dialled_number, left: time_left };
-        let held = match self.limits.take(self.now, asked) {
+        let asked =
+            AdmissionRequest { class, pool: first_choice.0, number: &request.dialled_number, time_left };
+        let held = match self.limits.admit(self.now, asked) {
             Ok(held) => held,
             Err(refusal) => return self.reject_at_limit(call, &refusal, commands),
         };
@@ -50,7 +51,7 @@
     fn reject_at_limit(&mut self, call: CallId, refusal: &Refusal, commands: &mut Vec<Command>) {
         let (level, cap) = (&refusal.level, refusal.cap);
         commands.push(Command::Log(format!("call {} rejected: {cap} of {level}", call.0)));
-        let retry_after = if self.settings.may_send_retry_after { refusal.wait } else { 0 };
+        let retry_after = if self.settings.may_send_retry_after { refusal.retry_after } else { 0 };
         self.reject(call, retry_after, commands);
     }
 
--- a/src/limits/draft.rs
+++ b/src/limits/draft.rs
@@ -1,4 +1,4 @@
-//! The `limits` section while the file is being read.
+//! Reads and checks the `limits` section.
 
 use serde_json::Value;
 
@@ -6,7 +6,7 @@
 use super::{Ceilings, Plan};
 use crate::ops::{self, Finding, Path};
 
-/// What was read of the section so far.
+/// The section while the file is being read and checked.
 pub struct Draft<'a> {
     ceilings: &'a Ceilings,
     section: Section,
@@ -14,12 +14,12 @@
 }
 
 impl<'a> Draft<'a> {
-    /// Nothing yet. The ceilings are the platform's, where its configuration is known.
+    /// An empty section. `ceilings` are those of the platform if its configuration is known.
     pub fn new(ceilings: &'a Ceilings) -> Draft<'a> {
         Draft { ceilings, section: Section::default(), plan: None }
     }
 
-    /// The plan, once the file was accepted.
+    /// The plan of an accepted file.
     pub fn plan(self) -> Plan {
         self.plan.unwrap_or_else(|| Plan::new(self.section, self.ceilings))
     }
--- a/src/limits/file.rs
+++ b/src/limits/file.rs
@@ -1,4 +1,4 @@
-//! The `limits` section as it stands in the file: what holds by default, by class and by route.
+//! The `limits` section as written in the file: the settings for all calls, for classes and for routes.
 
 use std::collections::BTreeMap;
 
@@ -9,99 +9,100 @@
 use super::units::{Share, Span, TimeOut};
 use crate::ops::{Finding, Path, decode};
 
-/// Most routes; at the bound the file is refused.
+/// Maximum number of routes; a file with more is refused.
 pub const MAX_ROUTES: usize = 200_000;
 
-/// The section. A setting of a route goes before its class's, and that before the default. `open_calls`, `rate` and
-/// `retry_budget` count where they are written: a call passes all those of its route, its class and the default.
+/// Limits for calls. A setting of a route overrides that of the class, which overrides the default. The caps `open_calls`,
+/// `rate` and `retry_budget` are not overridden: a call must pass those of its route, of its class and of the default.
 #[derive(Clone, Debug, Default, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Section {
-    /// What holds where neither route nor class says otherwise.
-    pub default: Terms,
-    /// By class, named as in the settings.
-    pub classes: BTreeMap<String, Terms>,
-    /// By route. The narrowest that a call fits is its route.
+    /// Settings for calls whose route and class do not override them.
+    pub default: LimitSettings,
+    /// Settings per class; the keys are the class names of the platform's settings.
+    pub classes: BTreeMap<String, LimitSettings>,
+    /// Routes with their settings. A call takes the most specific route that matches it.
     pub routes: Vec<Route>,
 }
 
-/// One route.
+/// A route: a set of calls and the settings for them.
 #[derive(Clone, Debug, Default, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// Its name; no other has it. Buckets and budgets go by it over a reload.
+    /// Unique name of the route. Buckets and budgets are kept under it across a reload.
     pub name: String,
-    /// Which calls take it.
+    /// The calls that take the route.
     #[serde(rename = "match")]
     pub matches: Match,
-    /// What holds on it.
+    /// Settings for these calls.
     #[serde(default)]
-    pub limits: Terms,
+    pub limits: LimitSettings,
 }
 
-/// Which calls take a route: those that fit all that is said. What is left out fits any call.
+/// The calls that take a route: those that meet all the conditions given. A condition left out is met by any call.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Match {
-    /// The call's class.
+    /// Class of the call.
     pub class: Option<String>,
-    /// The number of its pool of first choice.
+    /// Number of the pool of first choice.
     pub pool: Option<i64>,
-    /// How the number called begins: on the platform 16 hex digits, in SIP the user part.
+    /// Prefix of the number called, which is 16 hex digits on the platform and the user part of the URI in SIP.
     pub prefix: String,
 }
 
-/// What may be set. What is left out is up to the level below.
+/// Settings of a route, a class or the default. One that is left out is taken from the next more general level.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, JsonSchema)]
-#[serde(deny_unknown_fields, default)]
-pub struct Terms {
-    /// How long one try may take: a span, or a share of the time that the caller waits.
+#[serde(rename = "Terms", deny_unknown_fields, default)] // schema and error texts keep the name
+pub struct LimitSettings {
+    /// Timeout of one attempt: a duration, or a percentage of the time that the caller waits.
     pub time_out: Option<TimeOut>,
-    /// Most tries for one call, the first included; from 1 to 4.
+    /// Maximum number of attempts for one call, the first included; 1 to 4.
     pub attempts: Option<u32>,
-    /// How long a call rests after a try that failed.
+    /// Pause between a failed attempt and the next one.
     pub pause: Pause,
-    /// What is added to that pause, growing from try to try.
+    /// Time added to the pause, growing with each attempt.
     pub back_off: Option<BackOff>,
-    /// How many tries may be repeats.
+    /// Maximum number of retries in proportion to new calls.
     pub retry_budget: Option<RetryBudget>,
-    /// Most calls that are open or stand at a time.
+    /// Maximum number of calls that are being set up or established at a time.
     pub open_calls: Option<u32>,
-    /// Most set-ups taken a second.
+    /// Maximum rate of set-ups accepted.
     pub rate: Option<Rate>,
-    /// When a caller that is turned away at a limit may come back.
+    /// Bounds of the retry-after given to a caller that is rejected at a limit.
     #[serde(rename = "come_back")]
     pub retry_after: Option<RetryAfterBounds>,
-    /// A second try beside the first, where class and installation allow it.
+    /// A second attempt in parallel to the first, if the class and the installation allow it.
     pub second_copies: Option<SecondCopies>,
 }
 
-/// Pauses, by how the try ended.
+/// Pauses before the next attempt, by how the last one ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Pause {
-    /// No answer came in its time; 500 ms at least.
+    /// After a timeout; at least 500 ms.
     pub timed_out: Option<Span>,
-    /// It was cut; 500 ms at least.
+    /// After the connection was reset; at least 500 ms.
     pub reset: Option<Span>,
-    /// It was called off; 500 ms at least.
+    /// After the attempt was cancelled; at least 500 ms.
     pub cancelled: Option<Span>,
-    /// The server was full; none by default.
+    /// After the server rejected the call as full; none by default.
     pub full: Option<Span>,
 }
 
-/// Back-off: `first`, then `factor` times as much each time, up to `most`; each drawn anew up to `jitter` less.
+/// Exponential back-off: starts at `first`, is multiplied by `factor` for each attempt up to `most`, and each value is
+/// shortened at random by up to `jitter`.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct BackOff {
-    /// Before the second try.
+    /// Back-off before the second attempt.
     pub first: Span,
-    /// The longest.
+    /// The longest back-off.
     pub most: Span,
-    /// From one try to the next; 1 or more.
+    /// Growth from one attempt to the next; 1 to 16.
     #[serde(default = "twice")]
     pub factor: f64,
-    /// How much of it is drawn at random, 0% to 100%.
+    /// Largest part of the back-off by which it is shortened at random, 0% to 100%.
     #[serde(default = "half")]
     pub jitter: Share,
 }
@@ -114,16 +115,16 @@
     Share(0.5)
 }
 
-/// Retry budget: repeated tries within the window, as a share of the fresh calls within it.
+/// Retry budget: maximum number of retries within a sliding window, as a percentage of the new calls within it.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct RetryBudget {
-    /// The share; over 0%.
+    /// Retries as a percentage of new calls; over 0%.
     pub share: Share,
-    /// The sliding window; 1 s or more.
+    /// Length of the sliding window; 1 s or more.
     #[serde(default = "ten_seconds")]
     pub window: Span,
-    /// Repeats that are free in each window, for routes with few calls.
+    /// Retries allowed in each window in addition to the percentage, for routes with few calls.
     #[serde(default = "three")]
     pub least: u32,
 }
@@ -136,44 +137,44 @@
     3
 }
 
-/// A token bucket for set-ups.
+/// Rate limit for set-ups, enforced by a token bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Rate {
-    /// Set-ups a second; over 0.
+    /// Set-ups per second; over 0.
     pub per_second: f64,
-    /// How many may come at once; 1 or more. By default a second's worth.
+    /// Burst size: set-ups accepted at once; 1 or more. The default is the number accepted in one second.
     pub burst: Option<u32>,
 }
 
-/// Bounds of the advice when to come back.
+/// Bounds of the retry-after given to rejected callers.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-#[schemars(rename = "ComeBack")] // the published schema keeps its names
+#[schemars(rename = "ComeBack")] // the schema keeps the name
 pub struct RetryAfterBounds {
-    /// Never sooner.
+    /// The shortest retry-after.
     pub least: Span,
-    /// Never later.
+    /// The longest retry-after.
     pub most: Span,
 }
 
-/// A second try beside the first.
+/// A second attempt in parallel to the first.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct SecondCopies {
-    /// It goes out once the first has had no answer for so long.
+    /// How long the first attempt goes unanswered before the second one is sent.
     pub after: Span,
 }
 
 impl Rate {
-    /// How many set-ups may come at once.
+    /// The burst size, or its default: the set-ups accepted in one second.
     pub fn max_burst(&self) -> u32 {
         self.burst.unwrap_or_else(|| self.per_second.ceil().clamp(1.0, 1e9) as u32)
     }
 }
 
 impl Section {
-    /// Reads the section piece by piece, so that every fault of every piece is found.
+    /// Reads the section entry by entry, so that the errors of all entries are reported at once.
     pub fn read(value: Value, at: &Path, findings: &mut Vec<Finding>) -> Section {
         let mut section = Section::default();
         let Value::Object(map) = value else {
@@ -191,8 +192,8 @@
                 ("default", value) => section.default = decode(value, &at, findings).unwrap_or_default(),
                 ("classes", Value::Object(classes)) => {
                     for (class, value) in classes {
-                        let terms = decode(value, &at.key(&class), findings).unwrap_or_default();
-                        section.classes.insert(class, terms);
+                        let settings = decode(value, &at.key(&class), findings).unwrap_or_default();
+                        section.classes.insert(class, settings);
                     }
                 }
                 ("classes", _) => {
@@ -200,17 +201,17 @@
                     findings.push(Finding::error("form", at, "'classes' is no object", remedy));
                 }
                 ("routes", Value::Array(routes)) if routes.len() > MAX_ROUTES => {
-                    let text = format!("there are {} routes, and {MAX_ROUTES} are the most", routes.len());
+                    let text = format!("there are {} routes, and the maximum is {MAX_ROUTES}", routes.len());
                     findings.push(Finding::error(
                         "size",
                         at,
                         text,
-                        "give numbers with a common prefix one route",
+                        "use one route for numbers with a common prefix",
                     ));
                 }
                 ("routes", Value::Array(routes)) => {
                     for (n, value) in routes.into_iter().enumerate() {
-                        // A route that cannot be read keeps its place: findings go by it.
+                        // A route that cannot be read stays in the list as a default, since findings refer to routes by index.
                         section.routes.push(decode(value, &at.index(n), findings).unwrap_or_default());
                     }
                 }
--- a/src/limits/mod.rs
+++ b/src/limits/mod.rs
@@ -1,18 +1,19 @@
-//! Limits: what a route and a class allow a call, as the operators' file says.
+//! Limits that the operators' file sets for calls, per route and per class.
 //!
-//! `file` is the section as it stands in the file, `trie` finds a number's routes,
-//! `plan` compiles what holds for a route and class and tells where each value comes from, and `check` refuses what
-//! would break a rule. `live` is the plan at work: who is taken in, and when a call may be tried again. Nothing here does I/O or keeps a clock.
+//! `file` is the section as written in the file, `trie` finds the routes whose prefix a number starts with, `plan`
+//! compiles the settings that apply to a route and class and records the origin of each value, and `check` reports
+//! settings that break a rule. `limiter` applies the plan: it admits or rejects calls and decides when a call may be
+//! retried. Nothing here does I/O or reads a clock.
 
 mod check;
 mod draft;
 pub mod file;
-mod live;
+mod limiter;
 mod plan;
 pub mod trie;
 
 pub use crate::ops::units;
-pub use check::faults;
+pub use check::find_conflicts;
 pub use draft::Draft;
-pub use live::{Asked, Held, Live, Refusal, Verdict};
+pub use limiter::{Admission, AdmissionRequest, Limiter, Refusal, RetryDecision};
 pub use plan::{Ceilings, ClassInfo, Limits, MAX_ATTEMPTS, MIN_PAUSE, Origin, Plan, Sourced};
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -20,7 +20,7 @@
 use crate::config::Config;
 use crate::driver::{self, Driver, Frontend as _};
 use crate::gateway::{Command, Gateway, Input};
-use crate::limits::{Live, Plan};
+use crate::limits::{Limiter, Plan};
 use crate::link;
 use crate::list::{Directory, ListedServer, resolver};
 use crate::operate::AdminService;
@@ -103,7 +103,7 @@
 
 impl PlatformFrontend {
     fn start(config: &Config, plan: Option<Rc<Plan>>) -> Shared {
-        let limits = Live::of(plan, &config.settings, &config.classes, config.seed);
+        let limits = Limiter::from_plan_or_settings(plan, &config.settings, &config.classes, config.seed);
         let longest_wait = config.max_waits.iter().copied().max().unwrap_or(0);
         let gateway = Gateway::with_limits(config.settings.clone(), limits, config.seed);
         let driver = Driver::new(gateway, config.classes.clone(), longest_wait);
--- a/src/sip/mod.rs
+++ b/src/sip/mod.rs
@@ -25,7 +25,7 @@
 use crate::config::SipConfig;
 use crate::driver::{self, Driver, Frontend as _};
 use crate::gateway::{AttemptId, Command, Gateway, Input};
-use crate::limits::{Live, Plan};
+use crate::limits::{Limiter, Plan};
 use crate::list::{Directory, ListedServer, resolver};
 use crate::operate::AdminService;
 use crate::operate::serving_state::ClientConnections;
@@ -157,7 +157,7 @@
 
 impl SipFrontend {
     fn start(config: &SipConfig, plan: Option<Rc<Plan>>, transport: Transport) -> Shared {
-        let limits = Live::of(plan, &config.settings, &config.classes, config.seed);
+        let limits = Limiter::from_plan_or_settings(plan, &config.settings, &config.classes, config.seed);
         let gateway = Gateway::with_limits(config.settings.clone(), limits, config.seed);
         let driver = Driver::new(gateway, config.classes.clone(), config.wait);
         Rc::new_cyclic(|me| {
--- a/tests/ops_files.rs
+++ b/tests/ops_files.rs
@@ -18,11 +18,11 @@
 }
 
 fn ceilings(told: &BTreeMap<&str, &str>) -> Ceilings {
-    let class = |name: &str, patience, repeatable, pools| ClassInfo {
+    let class = |name: &str, max_wait, is_idempotent, pools| ClassInfo {
         name: name.to_string(),
-        patience,
-        repeatable,
-        pools: Some(pools),
+        max_wait,
+        is_idempotent,
+        allowed_pools: Some(pools),
     };
     Ceilings {
         attempts: told.get("attempts").map_or(4, |n| n.parse().unwrap()),
