--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -1,12 +1,12 @@
-//! Admission: the decision module's rejections and failures become final answers, at once and once. Also the deadlines, and
-//! the end of the program.
+//! Admission: turns the decision module's rejections and failures into final answers, immediately and only once per
+//! call. Also handles deadlines and shutdown.
 
 use super::call_counters::CallEnd;
 use super::call_table::{CallState, InFlightAttempt};
 use super::{AttemptId, Command, Gateway, InvariantViolation};
 use crate::{CallId, Event, Micros, Outcome};
 
-/// How long past a call's deadline the decision module may be late before the core answers in its place.
+/// Time after a call's deadline at which the core fails the call itself if the decision module has not answered it.
 const DECISION_SLACK: Micros = 10_000;
 
 impl Gateway {
@@ -22,8 +22,8 @@
         }
     }
 
-    /// Removes a pending call, and cancels its attempt in flight. False for a call that is over already: no error, for
-    /// what ended it and the decision may have crossed.
+    /// Removes a pending call and cancels its attempt in flight. Returns false if the call has already ended; this is
+    /// no error, because the event that ended it may have crossed the decision.
     fn end_pending_call(&mut self, call: CallId, end: CallEnd, commands: &mut Vec<Command>) -> bool {
         let Some(in_flight) = self.remove_pending(call, end) else { return false };
         if let Some(in_flight) = in_flight {
@@ -34,8 +34,8 @@
         true
     }
 
-    /// Removes a pending call and returns its attempt in flight; `None` if the call is not pending. The caller of this
-    /// gives the final answer. The attempt is cancelled with it, so the release wait begins now.
+    /// Removes a pending call and returns its attempt in flight; `None` if the call is not pending. The calling
+    /// function must give the final answer and cancel the attempt; the release wait therefore begins now.
     pub(super) fn remove_pending(&mut self, call: CallId, end: CallEnd) -> Option<Option<InFlightAttempt>> {
         let (_, in_flight) = self.calls.pending_mut(call)?;
         let has_attempt = in_flight.is_some();
@@ -43,7 +43,8 @@
         self.calls.remove(call, quarantine_until, end).map(|_| in_flight)
     }
 
-    /// Ends attempts whose time is up, and answers what the decision module has left unanswered past its deadline.
+    /// Times out expired attempts, and fails calls that the decision module has not answered [`DECISION_SLACK`] after
+    /// their deadline.
     pub(super) fn expire_deadlines(&mut self, commands: &mut Vec<Command>) {
         while let Some(call) = self.calls.pop_expired(self.now) {
             let now = self.now;
@@ -57,7 +58,7 @@
                 continue;
             }
             if now >= deadline + DECISION_SLACK {
-                // Guards against a call left without an answer whatever the decision module did.
+                // Guarantees every call a final answer, even if the decision module has a defect.
                 commands.push(Command::ReportViolation(InvariantViolation::NoFinalAnswer(call)));
                 self.pending_events.push_back(Event::CallerGone { call });
                 self.fail(call, commands);
@@ -67,10 +68,11 @@
         }
     }
 
-    /// The program ends: pending calls get their answer, established ones are released on both sides.
+    /// Ends every call at shutdown: pending calls get a final answer, established calls are released on both sides.
     pub(super) fn shut_down(&mut self, commands: &mut Vec<Command>) {
         for call in self.calls.call_ids() {
-            // Rejected where nothing may have run, so that the caller may try elsewhere at once.
+            // A call without an attempt in flight is rejected rather than failed: nothing of it may have run on a
+            // server, so its caller may try elsewhere at once.
             let state = self.calls.get(call).map(|entry| entry.state);
             let has_attempt = matches!(state, Some(CallState::Pending(Some(_))));
             let end = if has_attempt { CallEnd::Failed } else { CallEnd::Rejected };
--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -1,11 +1,11 @@
-//! Attempts: they are sent, cancelled and timed out. The last checks of the rules before an attempt leaves are here.
+//! Attempts: sends, cancels and times out attempts, after a final check of the rules before each one is sent.
 
 use super::call_table::{CallState, InFlightAttempt};
 use super::{AttemptId, Command, ForbiddenReason, Gateway, InvariantViolation};
 use crate::limits::Verdict;
 use crate::{AttemptEnd, CallId, Cause, Event, LoadReport, Micros, Outcome, ServerId};
 
-/// How an attempt ended, as its server said or as is known without it.
+/// How an attempt ended, as reported by its server or inferred without a report.
 pub(super) struct EndReport {
     pub outcome: Outcome,
     pub cause: Cause,
@@ -13,14 +13,14 @@
 }
 
 impl EndReport {
-    /// An end of which no server has spoken.
+    /// The end of an attempt that no server has reported.
     pub fn unreported(outcome: Outcome) -> EndReport {
         EndReport { outcome, cause: Cause::Unspecified, load: LoadReport::default() }
     }
 }
 
 impl Gateway {
-    /// Sends an attempt, if the rules allow it. `timeout` 0: until the call's deadline.
+    /// Sends an attempt if the rules allow it. A `timeout` of 0 means until the call's deadline.
     pub(super) fn send_attempt(
         &mut self,
         call: CallId,
@@ -30,7 +30,7 @@
     ) {
         let now = self.now;
         if let Some(reason) = self.forbidden_reason(call, server) {
-            // Guards the rules against whatever the decision module asks for: the attempt never leaves.
+            // The rules hold even if the decision module has a defect: a forbidden attempt is never sent.
             let violation = InvariantViolation::AttemptForbidden { call, server, reason };
             commands.push(Command::ReportViolation(violation));
             self.notify_not_sent(call, server);
@@ -52,8 +52,8 @@
         });
     }
 
-    /// The rule that forbids an attempt now, if there is one. A call that is over is not sent either, but that is no
-    /// violation.
+    /// The rule that forbids an attempt now, if any. `None` for a call that has ended: it is not sent either, but
+    /// that is no violation.
     fn forbidden_reason(&mut self, call: CallId, server: ServerId) -> Option<ForbiddenReason> {
         let now = self.now;
         let max_attempts = self.settings.max_attempts;
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Tells the decision module that an attempt was not sent, where the call has no other in flight.
+    /// Notifies the decision module that an attempt was not sent, unless the call has another attempt in flight.
     fn notify_not_sent(&mut self, call: CallId, server: ServerId) {
         let now = self.now;
         let Some((entry, None)) = self.calls.pending_mut(call) else { return };
@@ -86,7 +86,7 @@
         self.notify_attempt_ended(call, unsent, EndReport::unreported(Outcome::NotSent));
     }
 
-    /// The decision module cancels an attempt. It does so just before its final answer, so the call stays in the table.
+    /// Cancels an attempt for the decision module. The final answer follows separately, so the call stays in the table.
     pub(super) fn cancel_attempt(&mut self, call: CallId, number: u32, commands: &mut Vec<Command>) {
         let Some((_, Some(in_flight))) = self.calls.pending_mut(call) else { return };
         if in_flight.number == number {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// An attempt got no answer in its time: it is cancelled at the server and the release wait begins.
+    /// Times out an unanswered attempt: it is cancelled at the server and the release wait begins.
     pub(super) fn time_out_attempt(
         &mut self,
         call: CallId,
@@ -120,18 +120,19 @@
         self.notify_attempt_ended(call, in_flight, EndReport::unreported(outcome));
     }
 
-    /// Tells the decision module that the call of an attempt is over, as no server has reported.
+    /// Notifies the decision module that the call of an attempt is over, without a server's report.
     pub(super) fn notify_call_over(&mut self, call: CallId, attempt: InFlightAttempt, outcome: Outcome) {
         self.notify_call_over_with(call, attempt, EndReport::unreported(outcome));
     }
 
-    /// Tells the decision module that the call of an attempt is over.
+    /// Notifies the decision module that the call of an attempt is over.
     pub(super) fn notify_call_over_with(&mut self, call: CallId, attempt: InFlightAttempt, end: EndReport) {
         let verdict = Verdict { rest: 0, again: true };
         self.push_attempt_end(call, attempt, end, verdict, true);
     }
 
-    /// Tells the decision module how an attempt ended whose call goes on, and what the limits say of a retry.
+    /// Notifies the decision module how an attempt of a still pending call ended, and whether and when the limits
+    /// allow a retry.
     pub(super) fn notify_attempt_ended(&mut self, call: CallId, attempt: InFlightAttempt, end: EndReport) {
         let mut verdict = Verdict { rest: 0, again: true };
         let now = self.now;
--- a/src/gateway/call_counters.rs
+++ b/src/gateway/call_counters.rs
@@ -1,25 +1,25 @@
-//! Counters of calls by class and outcome. The call table counts where a call enters, is answered and leaves, so no call is
-//! counted twice or left out.
+//! Counters of calls by class and outcome. The call table updates the counters of calls when a call is inserted,
+//! established or removed, so that every call is counted exactly once.
 
-/// What became of one class's calls since the start. Counters never fall.
+/// Counters of one class's calls since the start of the process. They never decrease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassCounters {
-    /// Requested.
+    /// Calls requested.
     pub requested: u64,
-    /// Established.
+    /// Calls established.
     pub served: u64,
-    /// Rejected.
+    /// Calls rejected.
     pub rejected: u64,
-    /// Failed.
+    /// Calls failed.
     pub failed: u64,
-    /// Cancelled by their callers before they had an answer.
+    /// Calls cancelled by their callers before the final answer.
     pub cancelled: u64,
-    /// Attempts whose set-up was written whole to a server's connection.
+    /// Attempts whose set-up message was written in full to a server's connection.
     pub attempts: u64,
 }
 
 impl ClassCounters {
-    /// Adds another's.
+    /// Adds the counters of `other`.
     pub fn add(&mut self, other: &ClassCounters) {
         self.requested += other.requested;
         self.served += other.served;
@@ -30,25 +30,25 @@
     }
 }
 
-/// How a call left the call table.
+/// Why a call was removed from the call table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallEnd {
-    /// It was rejected.
+    /// The call was rejected.
     Rejected,
-    /// It failed.
+    /// The call failed.
     Failed,
-    /// Its caller cancelled it.
+    /// The caller cancelled the call.
     Cancelled,
-    /// It had been established, and was released.
+    /// The call was established and has been released.
     Released,
 }
 
-/// The counters of all classes, by their place in the settings.
+/// The counters of all classes, indexed by the class's position in the settings.
 #[derive(Debug, Default)]
 pub struct CallCounters(Vec<ClassCounters>);
 
 impl CallCounters {
-    /// So many classes, each at 0.
+    /// Creates counters for this number of classes, all 0.
     pub fn new(classes: usize) -> CallCounters {
         CallCounters(vec![ClassCounters::default(); classes])
     }
@@ -71,7 +71,7 @@
             CallEnd::Rejected => self.increment(class, |counters| &mut counters.rejected),
             CallEnd::Failed => self.increment(class, |counters| &mut counters.failed),
             CallEnd::Cancelled => self.increment(class, |counters| &mut counters.cancelled),
-            CallEnd::Released => {} // it was counted when it was established
+            CallEnd::Released => {} // already counted as served
         }
     }
 
@@ -79,7 +79,7 @@
         self.increment(class, |counters| &mut counters.attempts);
     }
 
-    /// Calls of no known class are in no counter.
+    /// Calls of an unknown class are not counted.
     fn increment(&mut self, class: usize, counter: impl FnOnce(&mut ClassCounters) -> &mut u64) {
         if let Some(counters) = self.0.get_mut(class) {
             *counter(counters) += 1;
--- a/src/gateway/call_table.rs
+++ b/src/gateway/call_table.rs
@@ -1,7 +1,8 @@
-//! The call table: all calls that are pending or established, their deadlines, and each call's one final answer.
+//! The call table: all pending and established calls with their deadlines. It ensures that each call gets exactly one
+//! final answer.
 //!
-//! The table owns every call's entry. It also counts calls and remembers, for the release wait, the wire ids of calls that
-//! have ended.
+//! The table owns the entries of the calls. It also counts calls, and stores the wire ids of ended calls until their
+//! release wait is over.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
@@ -11,51 +12,52 @@
 use crate::limits::Held;
 use crate::{CallId, Micros, ServerId};
 
-/// An attempt that has no end yet: it has no answer, or its call is established.
+/// An attempt that has not ended: it is unanswered, or its call is established.
 #[derive(Clone, Copy, Debug)]
 pub struct InFlightAttempt {
-    /// Which attempt.
+    /// The attempt's number within its call.
     pub number: u32,
-    /// Where it was sent.
+    /// Server to which it was sent.
     pub server: ServerId,
-    /// When it was sent.
+    /// Time at which it was sent.
     pub sent_at: Micros,
-    /// When it times out.
+    /// Time at which it times out.
     pub expires_at: Micros,
 }
 
-/// Where a call is in its life. A call that was rejected or failed is in the table no more.
+/// State of a call in the table. Rejected and failed calls are removed from it.
 #[derive(Clone, Copy, Debug)]
 pub enum CallState {
-    /// It has no final answer; at most one attempt is in flight.
+    /// No final answer yet; at most one attempt is in flight.
     Pending(Option<InFlightAttempt>),
-    /// Its final answer was that it is established.
+    /// The final answer was "established".
     Established(InFlightAttempt),
 }
 
-/// One call.
+/// One call in the table.
 #[derive(Debug)]
 pub struct CallEntry {
-    /// Where it is in its life.
+    /// Pending or established.
     pub state: CallState,
-    /// Its id on the wire.
+    /// The call's id on the wire.
     wire_id: Box<str>,
-    /// Its class.
+    /// Position of the class in the settings.
     class: usize,
-    /// When its caller gives up.
+    /// Time at which the caller gives up.
     pub deadline: Micros,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub attempts: u32,
-    /// No attempt before this: an earlier one may still hold something.
+    /// Earliest time of the next attempt: until then an earlier one may still occupy resources at a server.
     pub not_before: Micros,
-    /// The caller's description; dropped once it is not needed.
+    /// The caller's description; cleared when the call is established.
     pub description: Bytes,
-    /// The limits that apply to it and count it; dropped with the call. `None`: it was rejected at once.
+    /// The limits that apply to the call and count it until it is dropped. `None` if the call was rejected before the
+    /// limits were checked or by them, or was adopted from another process.
     pub limit_permit: Option<Held>,
 }
 
 impl CallEntry {
-    /// A call that a caller has just requested.
+    /// Creates the entry of a newly requested call.
     pub fn pending(wire_id: Box<str>, class: usize, deadline: Micros, description: Bytes) -> CallEntry {
         CallEntry {
             state: CallState::Pending(None),
@@ -69,7 +71,7 @@
         }
     }
 
-    /// A call that another process established.
+    /// Creates the entry of a call established by another process.
     pub fn established(wire_id: Box<str>, class: usize, attempt: InFlightAttempt) -> CallEntry {
         CallEntry {
             state: CallState::Established(attempt),
@@ -83,7 +85,7 @@
         }
     }
 
-    /// The attempt without an end, whatever the call's state.
+    /// The attempt that has not ended, in either state.
     fn attempt(&self) -> Option<InFlightAttempt> {
         match self.state {
             CallState::Pending(attempt) => attempt,
@@ -96,30 +98,30 @@
     }
 }
 
-/// A time at which a call must be looked at again.
+/// Time at which a call's deadlines must be checked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Deadline {
     at: Micros,
     call: CallId,
 }
 
-/// All calls that are pending or established.
+/// All pending and established calls.
 #[derive(Default)]
 pub struct CallTable {
     calls: BTreeMap<CallId, CallEntry>,
     deadlines: BTreeSet<Deadline>,
     established: usize,
-    /// What became of the calls so far.
+    /// Counters by class.
     pub counters: CallCounters,
     quarantine: Quarantine,
 }
 
-/// Wire ids of calls that have ended and may not be sent again yet.
+/// Wire ids of ended calls whose release wait is not over, so that no attempt may be sent for them.
 #[derive(Default)]
 struct Quarantine {
-    /// Until when.
+    /// End of the release wait by wire id.
     until_by_id: HashMap<Box<str>, Micros>,
-    /// The same in the order in which the calls ended.
+    /// The same pairs in the order in which the calls ended.
     by_end: VecDeque<(Micros, Box<str>)>,
 }
 
@@ -141,12 +143,12 @@
 }
 
 impl CallTable {
-    /// An empty table that counts by so many classes.
+    /// Creates an empty table with counters for this number of classes.
     pub fn new(classes: usize) -> CallTable {
         CallTable { counters: CallCounters::new(classes), ..CallTable::default() }
     }
 
-    /// Adds a pending call; false if its id is in the table already.
+    /// Adds a pending call; false if its id is already in the table.
     pub fn insert_pending(&mut self, call: CallId, entry: CallEntry) -> bool {
         if self.calls.contains_key(&call) {
             return false;
@@ -157,7 +159,8 @@
         true
     }
 
-    /// Adds an established call; false if its id is in the table already. It was counted by the process that answered it.
+    /// Adds an established call; false if its id is already in the table. The process that answered the call has
+    /// counted it.
     pub fn insert_established(&mut self, call: CallId, entry: CallEntry) -> bool {
         if self.calls.contains_key(&call) {
             return false;
@@ -167,12 +170,13 @@
         true
     }
 
-    /// Returns until when a call of this wire id may not be sent, if an earlier one's attempt may still hold something.
+    /// End of the release wait of an ended call with this wire id, whose attempt may still occupy resources at a
+    /// server; `None` if there is no such call.
     pub fn quarantined_until(&mut self, wire_id: &str, now: Micros) -> Option<Micros> {
         self.quarantine.blocked_until(wire_id, now)
     }
 
-    /// A pending or established call.
+    /// Returns a pending or established call.
     pub fn get(&self, call: CallId) -> Option<&CallEntry> {
         self.calls.get(&call)
     }
@@ -182,7 +186,7 @@
         self.get(call).is_some_and(CallEntry::is_established)
     }
 
-    /// A pending call and its attempt in flight.
+    /// Returns a pending call and its attempt in flight.
     pub fn pending_mut(&mut self, call: CallId) -> Option<(&mut CallEntry, Option<InFlightAttempt>)> {
         let entry = self.calls.get_mut(&call)?;
         match entry.state {
@@ -191,7 +195,7 @@
         }
     }
 
-    /// Records the limits that apply to a call.
+    /// Stores the limits that apply to a call.
     pub fn set_limits(&mut self, call: CallId, limit_permit: Held) {
         if let Some(entry) = self.calls.get_mut(&call) {
             entry.limit_permit = Some(limit_permit);
@@ -210,7 +214,8 @@
         }
     }
 
-    /// Spends the final answer on "established"; false if there is none left to spend.
+    /// Marks a pending call as established, which is its final answer; false if the call has already been answered or
+    /// has no attempt in flight.
     pub fn establish(&mut self, call: CallId) -> bool {
         let Some(entry) = self.calls.get_mut(&call) else { return false };
         let CallState::Pending(Some(attempt)) = entry.state else { return false };
@@ -223,9 +228,9 @@
         true
     }
 
-    /// Removes a call, whatever its state: the one place where an entry's life ends. Its wire id is quarantined until
-    /// `quarantine_until`, or until an earlier attempt's release wait is over. `end` says what became of it where it was
-    /// pending.
+    /// Removes a call in any state. No other function removes entries. The wire id is quarantined until
+    /// `quarantine_until` or until the release wait of an earlier attempt is over, whichever is later. `end` applies
+    /// to pending calls only.
     pub fn remove(&mut self, call: CallId, quarantine_until: Micros, end: CallEnd) -> Option<CallState> {
         let entry = self.calls.remove(&call)?;
         let end = if entry.is_established() { CallEnd::Released } else { end };
@@ -250,14 +255,14 @@
         self.deadlines.first().map(|deadline| deadline.at)
     }
 
-    /// Takes the next deadline that has passed.
+    /// Removes the earliest deadline that has passed and returns its call.
     pub fn pop_expired(&mut self, now: Micros) -> Option<CallId> {
         let deadline = self.deadlines.first().copied().filter(|deadline| deadline.at <= now)?;
         self.deadlines.remove(&deadline);
         Some(deadline.call)
     }
 
-    /// Has a call looked at again at `at`.
+    /// Schedules another check of a call's deadlines at `at`.
     pub fn schedule_check(&mut self, call: CallId, at: Micros) {
         self.deadlines.insert(Deadline { at, call });
     }
@@ -268,23 +273,23 @@
         attempts.filter(|(_, attempt)| attempt.server == server).collect()
     }
 
-    /// All calls.
+    /// Ids of all calls.
     pub fn call_ids(&self) -> Vec<CallId> {
         self.calls.keys().copied().collect()
     }
 
-    /// Established calls.
+    /// Ids of the established calls.
     pub fn established_call_ids(&self) -> Vec<CallId> {
         let established = self.calls.iter().filter(|(_, entry)| entry.is_established());
         established.map(|(call, _)| *call).collect()
     }
 
-    /// How many calls have no final answer.
+    /// Number of calls without a final answer.
     pub fn pending_count(&self) -> usize {
         self.calls.len() - self.established
     }
 
-    /// How many calls are established.
+    /// Number of established calls.
     pub fn established_count(&self) -> usize {
         self.established
     }
--- a/src/gateway/interface.rs
+++ b/src/gateway/interface.rs
@@ -1,4 +1,4 @@
-//! The types of the core's interface: what a frontend has seen, and what it is to do.
+//! The types of the core's interface: the inputs that a frontend reports and the commands that it executes.
 
 use std::rc::Rc;
 
@@ -8,163 +8,165 @@
 use crate::{CallId, Cause, EndpointListScope, LoadReport, Micros, Number, Outcome, PoolId};
 use crate::{ServerEntry, ServerId};
 
-/// One attempt to set a call up; the numbers of a call's attempts start from 0.
+/// Identifies one attempt to set up a call. The attempts of a call are numbered from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptId {
     /// The call.
     pub call: CallId,
-    /// Which attempt.
+    /// The attempt's number within the call.
     pub number: u32,
 }
 
-/// A request to set a call up, as its caller sent it.
+/// A caller's request to set up a call.
 #[derive(Clone, Debug)]
 pub struct SetupRequest {
-    /// A number of the frontend's own, never used twice.
+    /// Assigned by the frontend, which never reuses an id.
     pub call: CallId,
-    /// The call's id on the wire. A caller may use it again once the call is over.
+    /// The call's id on the wire. A caller may reuse it after the call has ended.
     pub wire_id: Box<str>,
-    /// Place of the class in the settings.
+    /// Position of the class in the settings.
     pub class: usize,
     /// The number called.
     pub number: Number,
-    /// The same as it was dialled.
+    /// The number called, as dialled.
     pub dialled_number: Box<str>,
-    /// Pool of first choice.
+    /// Pool to try first.
     pub first_choice: PoolId,
-    /// How long the caller waits from now on.
+    /// How much longer the caller waits.
     pub time_left: Micros,
-    /// The caller is known to dial again.
+    /// Whether the request is known to be a redial.
     pub is_redial: bool,
-    /// The caller's description, passed on unchanged.
+    /// The caller's session description, passed on unchanged.
     pub description: Bytes,
 }
 
-/// A call established by another process of this gatekeeper, which hands it over.
+/// A call established by another process of this gatekeeper and handed over to this one.
 #[derive(Clone, Debug)]
 pub struct AdoptedCall {
-    /// The attempt by which it is established here.
+    /// The attempt that represents the call in this process.
     pub attempt: AttemptId,
-    /// Its id on the wire.
+    /// The call's id on the wire.
     pub wire_id: Box<str>,
-    /// Place of its class in the settings.
+    /// Position of the class in the settings.
     pub class: usize,
-    /// Its server.
+    /// The server on which the call runs.
     pub server: ServerId,
 }
 
-/// What a frontend has seen.
+/// An event reported by a frontend.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A caller asks for a call.
+    /// A caller requests a call.
     SetupRequested(SetupRequest),
-    /// The caller has cancelled the request, or has gone: it gets no final answer any more.
+    /// The caller has cancelled the request or disconnected, and gets no final answer.
     SetupCancelled(CallId),
-    /// The caller releases an established call.
+    /// The caller has released an established call.
     CallReleased(CallId),
-    /// A server answers: the call is established.
+    /// A server has accepted the attempt: the call is established.
     Established {
-        /// Which attempt.
+        /// The attempt.
         attempt: AttemptId,
-        /// The server's description, passed on unchanged.
+        /// The server's session description, passed on unchanged.
         description: Bytes,
     },
-    /// A server ends an attempt, established or not, or it is known that it cannot answer any more.
+    /// A server has ended an attempt, established or not, or can no longer answer it.
     AttemptEnded {
-        /// Which attempt.
+        /// The attempt.
         attempt: AttemptId,
         /// How it ended.
         outcome: Outcome,
-        /// Why.
+        /// Why it ended.
         cause: Cause,
-        /// The server's load.
+        /// The load that the server reported with it.
         load: LoadReport,
     },
-    /// A load report outside an attempt, or the end of a health check (`answered` is false when no answer came).
+    /// A load report outside an attempt, or the result of a health check.
     Load {
         /// The server.
         server: ServerId,
-        /// It answered.
+        /// False for a health check that got no answer.
         answered: bool,
-        /// Its load.
+        /// The load it reported.
         load: LoadReport,
     },
     /// The endpoint list has changed.
     EndpointList {
-        /// From when on it may count as notified; the drain window begins here.
+        /// Time from which the change counts as notified. Drain windows begin here.
         notified_at: Micros,
-        /// What the list holds.
+        /// Which part of the endpoint list `entries` contains.
         scope: EndpointListScope,
-        /// Its entries.
+        /// The entries.
         entries: Vec<ServerEntry>,
     },
-    /// A server's process is known to have ended at `at`, or by then: what it held from before is cut.
+    /// A server's process ended no later than `at`: its attempts and calls from before that time are reset.
     ServerTerminated {
         /// The server.
         server: ServerId,
-        /// When.
+        /// Latest time at which the process can have ended.
         at: Micros,
     },
-    /// Nothing has been heard of a server for so long that its established calls count as over: it may have ended
-    /// them, and a caller must hear of an end in time.
+    /// A server has been silent for so long that its established calls count as ended: it may have ended them, and
+    /// callers must be notified of the end of a call in time.
     ServerUnreachable {
         /// The server.
         server: ServerId,
-        /// When it was last heard.
+        /// When the server was last heard from.
         last_heard_at: Micros,
     },
-    /// Another process of this gatekeeper hands over an established call.
+    /// Another process of this gatekeeper has handed over an established call.
     CallAdopted(AdoptedCall),
-    /// An established call is another process's from now on: nothing is released, nobody is notified.
+    /// An established call has been handed over to another process. It is not released, and neither its caller nor its
+    /// server is notified.
     CallHandedOver(CallId),
-    /// Other limits apply from now on.
+    /// The operators' limits have changed.
     LimitsChanged(Rc<Plan>),
-    /// Time has passed; the next input is wanted by [`next_deadline`](super::Gateway::next_deadline).
+    /// Time has passed. The next input is due by [`next_deadline`](super::Gateway::next_deadline).
     Tick,
-    /// The program ends: every call is brought to its end now.
+    /// The program shuts down: every call is ended now.
     Shutdown,
 }
 
-/// What a frontend is to do. Commands are carried out in order.
+/// An action for the frontend. Commands are executed in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Send an attempt to a server. The frontend reports `AttemptEnded` with `Unreachable` if it could not start to.
+    /// Send an attempt to a server. The frontend reports `AttemptEnded` with `Unreachable` if it could not begin to
+    /// send it.
     SendAttempt {
         /// The attempt.
         attempt: AttemptId,
-        /// Where.
+        /// Its server.
         server: ServerId,
-        /// How long the gatekeeper will wait.
+        /// How long the gatekeeper waits for the answer.
         time_left: Micros,
-        /// The caller's description.
+        /// The caller's session description.
         description: Bytes,
     },
-    /// Cancel an attempt that has no answer yet.
+    /// Cancel an unanswered attempt.
     CancelAttempt {
         /// The attempt.
         attempt: AttemptId,
-        /// Where.
+        /// Its server.
         server: ServerId,
     },
-    /// Release at the server an established call, or a late answer that nobody waits for.
+    /// Release an established call at its server.
     ReleaseAtServer {
         /// The attempt.
         attempt: AttemptId,
-        /// Where.
+        /// Its server.
         server: ServerId,
     },
     /// Final answer: the call is established.
     Accept {
         /// The call.
         call: CallId,
-        /// The server's description.
+        /// The server's session description.
         description: Bytes,
     },
     /// Final answer: rejected.
     Reject {
         /// The call.
         call: CallId,
-        /// How long the caller is to stay away; 0: no advice.
+        /// How long the caller should wait before it tries again; 0 if there is no advice.
         retry_after: Micros,
     },
     /// Final answer: failed.
@@ -172,37 +174,37 @@
         /// The call.
         call: CallId,
     },
-    /// An established call is over: release it towards the caller.
+    /// Notify the caller that its established call has ended.
     ReleaseToCaller {
         /// The call.
         call: CallId,
-        /// `Completed`, `Reset` or `Cancelled`.
+        /// How the call ended: `Completed`, `Reset` or `Cancelled`.
         outcome: Outcome,
     },
     /// Send a health check to a server.
     CheckHealth(ServerId),
     /// Close idle connections to a server.
     CloseIdle(ServerId),
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
-    /// An invariant does not hold: a defect to trace.
+    /// Report a violated invariant, which indicates a defect.
     ReportViolation(InvariantViolation),
 }
 
-/// A defect that the core's own checks have found. Whatever was asked for has not been done.
+/// A defect found by the core's own checks. The requested operation was not carried out.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum InvariantViolation {
-    /// The decision module asked for an attempt that a rule forbids.
+    /// The decision module requested an attempt that a rule forbids.
     #[error("call {} not sent to server {}: {reason}", call.0, server.0)]
     AttemptForbidden {
         /// The call.
         call: CallId,
-        /// Where it was to go.
+        /// Its intended server.
         server: ServerId,
-        /// The rule.
+        /// The rule that forbids it.
         reason: ForbiddenReason,
     },
-    /// A frontend requested a call twice under one id.
+    /// A frontend reported two requests with the same call id.
     #[error("call {} was requested twice", .0.0)]
     DuplicateCall(CallId),
     /// A call was handed over twice.
@@ -213,51 +215,51 @@
     NoFinalAnswer(CallId),
 }
 
-/// The rule that forbids an attempt.
+/// The reason for which an attempt is forbidden.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ForbiddenReason {
-    /// A call has one attempt in flight at most.
+    /// A call has at most one attempt in flight.
     #[error("another attempt is in flight")]
     AttemptInFlight,
-    /// Nothing is sent past the deadline.
-    #[error("its deadline has passed")]
+    /// No attempt is sent after the call's deadline.
+    #[error("the call's deadline has passed")]
     DeadlinePassed,
-    /// An earlier attempt may still hold something.
+    /// An earlier attempt may still occupy resources at its server.
     #[error("the release wait is not over")]
     ReleaseWait,
-    /// The settings' or the limits' maximum is reached.
-    #[error("no attempts are left")]
+    /// The call has reached the maximum number of attempts set by the settings or the limits.
+    #[error("the maximum number of attempts is reached")]
     NoAttemptsLeft,
-    /// The drain window has passed, or the server was never listed.
-    #[error("the server is draining or gone")]
+    /// The server's drain window has passed, or it has never been listed.
+    #[error("the server's drain window has passed, or it was never listed")]
     ServerClosed,
 }
 
-/// What the core knows of a server, for another process of this gatekeeper.
+/// State of a server, for the hand-over to another process of this gatekeeper.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerSnapshot {
-    /// It did not answer and gets trial calls only.
+    /// The server did not answer and is sent trial calls only.
     pub is_ejected: bool,
-    /// The last wait that it reported.
+    /// The last queue wait that it reported.
     pub last_reported_wait: Option<ReportedWait>,
-    /// Since when it has been notified as draining or gone.
+    /// Since when it has been draining or removed; `None` if it is up.
     pub draining_since: Option<Micros>,
 }
 
-/// A wait from a load report.
+/// A queue wait from a load report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReportedWait {
-    /// When the report came.
+    /// When the report was received.
     pub at: Micros,
-    /// The wait at the server's processor, in milliseconds.
+    /// Queue wait at the server's processor, in milliseconds.
     pub wait_ms: f64,
 }
 
-/// How many servers there are.
+/// Numbers of servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServerCounts {
-    /// Servers in the endpoint list.
+    /// Servers listed in the endpoint list.
     pub listed: usize,
-    /// Listed servers that get no new calls now.
+    /// Listed servers that are currently sent no new calls.
     pub excluded: usize,
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,12 +1,13 @@
 //! The core of the gatekeeper: calls, attempts and rules, without sockets, codecs or clocks.
 //!
-//! A frontend (the platform's JSON lines, or SIP) feeds [`Input`]s, each with the time at which it is seen, and carries out
-//! the [`Command`]s. Between the two a call passes the stages, one a file: `requests` takes it in, `admission` puts it to
-//! the decision module and turns the decision into the final answer, `routing` knows the servers, `attempts` sends and
-//! cancels, `responses` passes on what servers and callers say. `call_table` owns the calls.
+//! A frontend (the platform's JSON lines, or SIP) passes in [`Input`]s with the time at which each was observed, and
+//! executes the resulting [`Command`]s. Processing is split into one file per stage: `requests` handles set-up
+//! requests and their cancellation or release by the caller, `admission` turns the decision module's rejections and
+//! failures into final answers, `routing` keeps the state of the servers, `attempts` sends, cancels and times out
+//! attempts, and `responses` handles the servers' answers. `call_table` owns the calls.
 //!
-//! The decisions are the decision module's ([`Controller`]). The stages check the rules once more; a check that fails is
-//! reported through [`Command::ReportViolation`], because it means that a defect got past the module.
+//! All decisions are made by the decision module ([`Controller`]). The stages check its rules a second time; a check
+//! that fails is reported through [`Command::ReportViolation`], because it indicates a defect.
 
 mod admission;
 mod attempts;
@@ -29,14 +30,14 @@
 use call_table::{CallEntry, CallTable, InFlightAttempt};
 use routing::RoutingTable;
 
-/// A timer that the decision module has asked for.
+/// A timer set by the decision module.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct PolicyTimer {
     at: Micros,
     key: u64,
 }
 
-/// One gatekeeper's core. One instance a frontend.
+/// The core of one gatekeeper. Each frontend has its own instance.
 pub struct Gateway {
     settings: Settings,
     policy: Controller,
@@ -44,23 +45,23 @@
     calls: CallTable,
     routing: RoutingTable,
     timers: BTreeSet<PolicyTimer>,
-    /// Events that the decision module has not handled yet.
+    /// Events not yet passed to the decision module.
     pending_events: VecDeque<Event>,
-    /// A buffer for the decision module's actions.
+    /// Reused buffer for the decision module's actions.
     actions: Vec<Action>,
-    /// New calls are rejected with this as their retry-after.
+    /// If set, new calls are rejected with this retry-after.
     new_call_retry_after: Option<Micros>,
     now: Micros,
 }
 
 impl Gateway {
-    /// A gatekeeper that knows its settings and nothing else.
+    /// Creates a gatekeeper without limits by route and class and with an empty server list.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let limits = Live::bare(&settings);
         Gateway::with_limits(settings, limits, seed)
     }
 
-    /// The same with limits by route and class.
+    /// Creates a gatekeeper with limits by route and class and with an empty server list.
     pub fn with_limits(settings: Settings, limits: Live, seed: u64) -> Self {
         Gateway {
             limits,
@@ -76,7 +77,8 @@
         }
     }
 
-    /// Takes one input and appends the commands to carry out. A smaller `now` than before counts as that.
+    /// Handles one input and appends the commands to execute. The core's time never goes back: a `now` smaller than an
+    /// earlier one is replaced by that one.
     pub fn handle(&mut self, now: Micros, input: Input, commands: &mut Vec<Command>) {
         self.now = self.now.max(now);
         if matches!(input, Input::Shutdown) {
@@ -134,33 +136,34 @@
         }
     }
 
-    /// When the next `Tick` is wanted, if nothing else comes first.
+    /// Time by which the next `Tick` is due if no other input arrives before.
     pub fn next_deadline(&self) -> Option<Micros> {
         let timer = self.timers.first().map(|timer| timer.at);
         timer.into_iter().chain(self.calls.next_deadline()).min()
     }
 
-    /// How many calls have no final answer.
+    /// Number of calls without a final answer.
     pub fn pending_calls(&self) -> usize {
         self.calls.pending_count()
     }
 
-    /// How many calls are established.
+    /// Number of established calls.
     pub fn established_calls(&self) -> usize {
         self.calls.established_count()
     }
 
-    /// Established calls.
+    /// Ids of the established calls.
     pub fn established_call_ids(&self) -> Vec<CallId> {
         self.calls.established_call_ids()
     }
 
-    /// Rejects new calls from now on, with this retry-after; or takes them, with `None`.
+    /// Sets whether new calls are rejected: with `Some`, they are rejected with this retry-after; with `None`,
+    /// accepted.
     pub fn reject_new_calls(&mut self, retry_after: Option<Micros>) {
         self.new_call_retry_after = retry_after;
     }
 
-    /// What became of the calls so far, by class.
+    /// Call counters by class.
     pub fn counters(&self) -> &[ClassCounters] {
         self.calls.counters.by_class()
     }
@@ -170,8 +173,8 @@
         self.calls.counters.record_attempt(class);
     }
 
-    /// Listed servers, and those of them that get no new calls now: they are draining, closed by overload control, or
-    /// ejected.
+    /// Counts the listed servers, and those among them that are sent no new calls now because they are draining,
+    /// closed by overload control, or ejected.
     pub fn server_counts(&self) -> ServerCounts {
         let listed: Vec<(ServerId, ServerStatus)> = self.routing.listed().collect();
         let is_closed =
@@ -181,7 +184,7 @@
         ServerCounts { listed: listed.len(), excluded: listed.iter().filter(is_excluded).count() }
     }
 
-    /// What is known of a server, for another process of this gatekeeper.
+    /// The state of a server, for the hand-over to another process of this gatekeeper.
     pub fn server_snapshot(&self, server: ServerId) -> ServerSnapshot {
         ServerSnapshot {
             is_ejected: self.policy.gauge(server).is_some_and(|gauge| gauge.is_ejected),
@@ -190,17 +193,17 @@
         }
     }
 
-    /// Sets how many gatekeepers share the servers from now on.
+    /// Sets the number of gatekeepers that share the servers.
     pub fn set_gatekeepers(&mut self, gatekeepers: u32) {
         self.policy.set_gatekeepers(gatekeepers);
     }
 
-    /// How many gatekeepers share the servers by the configuration.
+    /// Number of gatekeepers that share the servers according to the configuration.
     pub fn configured_gatekeepers(&self) -> u32 {
         self.settings.gatekeepers
     }
 
-    /// Sets whether another process of this gatekeeper takes calls too, so that the limits are shared with it.
+    /// Sets whether another process of this gatekeeper accepts calls as well, so that the limits are shared with it.
     pub fn set_limits_shared(&mut self, is_shared: bool) {
         self.limits.share(self.now, is_shared);
     }
@@ -215,7 +218,7 @@
         }
     }
 
-    /// Has the decision module handle its events and carries its actions out, until neither is left.
+    /// Passes the pending events to the decision module and executes its actions, until no event is left.
     fn run_policy(&mut self, commands: &mut Vec<Command>) {
         while let Some(event) = self.pending_events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
@@ -239,7 +242,7 @@
                 self.timers.insert(PolicyTimer { at: self.now + delay, key });
             }
             Action::Log { text } => commands.push(Command::Log(text)),
-            // The list comes unasked and there are no messages between gatekeepers here.
+            // Frontends push the endpoint list without a request, and gatekeepers exchange no messages in this program.
             Action::SendMessage { .. } | Action::WatchEndpointList { .. } | Action::PollEndpointList => {}
         }
     }
--- a/src/gateway/requests.rs
+++ b/src/gateway/requests.rs
@@ -1,4 +1,5 @@
-//! Requests: what callers ask for and take back. A request becomes a call in the table and an event for the decision module.
+//! Requests: set-up requests, and their cancellation or release by the caller. A set-up request becomes a call in the
+//! table and, unless it is answered at once, an event for the decision module.
 
 use super::call_counters::CallEnd;
 use super::call_table::{CallEntry, CallState};
@@ -16,9 +17,9 @@
             return commands.push(Command::ReportViolation(InvariantViolation::DuplicateCall(call)));
         }
         if let Some(until) = quarantined_until {
-            // The same call again before the release wait is over: what it held may still be taken. Guards against a
-            // caller that sends a call again, unchanged, the moment it is rejected (found on a day with rude callers: ten
-            // calls went out again 122 ms after an attempt that had timed out).
+            // The same call was requested again before the release wait was over: an earlier attempt may still occupy
+            // resources at its server. Some callers repeat a rejected call unchanged and at once; without this check,
+            // ten such calls were sent to servers again 122 ms after an attempt that had timed out.
             return self.reject(call, until - self.now, commands);
         }
         if class >= self.settings.classes.len() {
@@ -46,17 +47,18 @@
         }));
     }
 
-    /// A limit of the operators' is met: the decision module need not be asked, and nothing has run.
+    /// Rejects a call that exceeds a limit set by the operators. The decision module is not involved, and no attempt
+    /// has been made.
     fn reject_at_limit(&mut self, call: CallId, refusal: &Refusal, commands: &mut Vec<Command>) {
         let (level, cap) = (&refusal.level, refusal.cap);
-        commands.push(Command::Log(format!("call {} rejected: {cap} of {level}", call.0)));
+        commands.push(Command::Log(format!("call {} rejected: limit {cap} of {level} is reached", call.0)));
         let retry_after = if self.settings.may_send_retry_after { refusal.wait } else { 0 };
         self.reject(call, retry_after, commands);
     }
 
-    /// The caller waits no longer: it gets no final answer, and the attempt in flight is cancelled.
+    /// Handles a caller's cancellation: there is no final answer, and the attempt in flight is cancelled.
     pub(super) fn handle_cancellation(&mut self, call: CallId, commands: &mut Vec<Command>) {
-        // It may have crossed our answer: then it is a release.
+        // If the cancellation has crossed the final answer, the call is established and is released instead.
         if self.calls.is_established(call) {
             return self.handle_release(call, commands);
         }
@@ -69,7 +71,7 @@
         }
     }
 
-    /// The caller releases an established call.
+    /// Handles a caller's release of an established call.
     pub(super) fn handle_release(&mut self, call: CallId, commands: &mut Vec<Command>) {
         if !self.calls.is_established(call) {
             return self.handle_cancellation(call, commands);
--- a/src/gateway/responses.rs
+++ b/src/gateway/responses.rs
@@ -1,4 +1,5 @@
-//! Responses: what servers say of attempts and established calls reaches the caller or, too late for it, is released.
+//! Responses: passes servers' answers on to callers, cancels attempts whose answer comes too late, and ends the calls
+//! of servers that have terminated or are unreachable.
 
 use bytes::Bytes;
 
@@ -9,7 +10,7 @@
 use crate::{Event, Micros, Outcome, ServerId};
 
 impl Gateway {
-    /// The call's state and its attempt; `None` once the attempt has ended.
+    /// The state of the attempt's call and the attempt itself; `None` once the attempt has ended.
     fn active_attempt(&self, attempt: AttemptId) -> Option<(CallState, InFlightAttempt)> {
         let state = self.calls.get(attempt.call)?.state;
         let (CallState::Pending(Some(current)) | CallState::Established(current)) = state else {
@@ -24,12 +25,13 @@
         description: Bytes,
         commands: &mut Vec<Command>,
     ) {
-        // A second answer to an established call changes nothing: its one final answer is given. The frontend never
-        // reports answers of attempts that were cancelled; it releases them where they come in.
+        // A second answer to an established call is ignored, because the final answer has been given. Frontends do not
+        // report answers to cancelled attempts; they release them on arrival.
         let Some((CallState::Pending(_), in_flight)) = self.active_attempt(attempt) else { return };
         let call = attempt.call;
         if self.calls.get(call).is_some_and(|entry| self.now >= entry.deadline) {
-            // Its caller's time ended in the same turn: whichever is seen first, nobody waits for it any more.
+            // The answer and the deadline came in the same turn. The caller has stopped waiting, whichever was handled
+            // first, so the attempt is cancelled.
             return self.time_out_attempt(call, in_flight, commands);
         }
         if self.calls.establish(call) {
@@ -71,7 +73,8 @@
 
     fn end_pending_attempt(&mut self, attempt: AttemptId, in_flight: InFlightAttempt, mut end: EndReport) {
         if end.outcome == Outcome::Completed {
-            // "Ended well" for what was never established is a server's error; it may have run, so the wait applies.
+            // A server must not report "completed" for an attempt that was never established. The call may have run
+            // there, so the release wait applies.
             end.outcome = Outcome::Reset;
         }
         let not_before = self.now + self.settings.rules.release_wait;
@@ -84,7 +87,8 @@
         self.notify_attempt_ended(attempt.call, in_flight, end);
     }
 
-    /// A server's process has ended: what it held is cut, and nothing can be released there any more.
+    /// Handles the end of a server's process: its attempts and calls from before `ended_at` are reset, without a
+    /// release at the server.
     pub(super) fn handle_server_terminated(
         &mut self,
         server: ServerId,
@@ -99,8 +103,8 @@
         }
     }
 
-    /// A server is out of reach and may have ended any call there: callers are told that theirs are over, and so will the
-    /// server be once it can be reached.
+    /// Handles an unreachable server, which may have ended any of its calls: each call established there before
+    /// `last_heard_at` is released to its caller, and at the server once it can be reached again.
     pub(super) fn handle_server_unreachable(
         &mut self,
         server: ServerId,
@@ -108,7 +112,7 @@
         commands: &mut Vec<Command>,
     ) {
         for (call, server_attempt) in self.calls.calls_at_server(server) {
-            // A pending attempt has a time-out of its own.
+            // Pending attempts are left to their own timeout.
             if server_attempt.sent_at > last_heard_at || !self.calls.is_established(call) {
                 continue;
             }
--- a/src/gateway/routing.rs
+++ b/src/gateway/routing.rs
@@ -1,21 +1,23 @@
-//! The servers as last notified, and until when each may still be sent an attempt. The decision module chooses among them;
-//! this is what its choice is checked against.
+//! The servers' last notified status, and until when each of them may be sent attempts. The decision module chooses the
+//! servers; its choices are checked against this table.
 
 use std::collections::BTreeMap;
 
 use super::interface::ReportedWait;
 use crate::{EndpointListScope, LoadReport, Micros, ServerEntry, ServerId, ServerStatus};
 
-/// A server's status, and since when it has that status or another like it.
+/// A server's status, and since when it has been up or has been closed (draining or removed).
 #[derive(Clone, Copy)]
 struct ServerState {
     status: ServerStatus,
-    /// When it was first notified as draining or gone, or last as up.
+    /// For a closed server, when it was first notified as draining or removed; otherwise, when it was last notified
+    /// as up.
     notified_at: Micros,
 }
 
 impl ServerState {
-    /// A repeated notification does not start the drain window again, nor does a drain that becomes a removal.
+    /// Sets the status. Neither a repeated notification nor a change from draining to removed restarts the drain
+    /// window.
     fn update(&mut self, status: ServerStatus, now: Micros) {
         let stays_closed = self.status != ServerStatus::Up && status != ServerStatus::Up;
         let notified_at = if stays_closed { self.notified_at } else { now };
@@ -23,7 +25,7 @@
     }
 }
 
-/// All servers that were ever listed.
+/// All servers that have ever been listed.
 #[derive(Default)]
 pub struct RoutingTable {
     servers: BTreeMap<ServerId, ServerState>,
@@ -31,7 +33,7 @@
 }
 
 impl RoutingTable {
-    /// Takes a change of the endpoint list.
+    /// Applies a change of the endpoint list.
     pub fn update(&mut self, now: Micros, scope: EndpointListScope, entries: &[ServerEntry]) {
         if scope != EndpointListScope::Changes {
             for (id, state) in &mut self.servers {
@@ -50,13 +52,13 @@
         self.reported_waits.retain(|id, _| is_listed(id));
     }
 
-    /// The servers in the list, and their status.
+    /// The listed servers with their status.
     pub fn listed(&self) -> impl Iterator<Item = (ServerId, ServerStatus)> + '_ {
         let all = self.servers.iter().map(|(id, state)| (*id, state.status));
         all.filter(|(_, status)| *status != ServerStatus::Removed)
     }
 
-    /// Records the load that a listed server reports.
+    /// Stores the queue wait from a load report if the server is listed.
     pub fn record_load(&mut self, now: Micros, server: ServerId, load: &LoadReport) {
         let is_listed = self.servers.get(&server).is_some_and(|state| state.status != ServerStatus::Removed);
         if let Some(wait_ms) = load.queue_wait_ms.filter(|_| is_listed) {
@@ -64,19 +66,19 @@
         }
     }
 
-    /// The wait that a server reported last.
+    /// The queue wait that a server reported last.
     pub fn reported_wait(&self, server: ServerId) -> Option<ReportedWait> {
         self.reported_waits.get(&server).copied()
     }
 
-    /// Since when a server has been notified as draining or gone.
+    /// Since when a server has been draining or removed; `None` if it is up or has never been listed.
     pub fn draining_since(&self, server: ServerId) -> Option<Micros> {
         let state = self.servers.get(&server).filter(|state| state.status != ServerStatus::Up);
         state.map(|state| state.notified_at)
     }
 
-    /// Whether an attempt may still go to a server: it is up, or the drain window `grace` has not passed. An unlisted
-    /// server gets nothing.
+    /// Whether attempts may be sent to a server: it is up, or the drain window `grace` has not passed. Always false
+    /// for a server that has never been listed.
     pub fn accepts_attempts(&self, server: ServerId, now: Micros, grace: Micros) -> bool {
         let Some(state) = self.servers.get(&server) else { return false };
         state.status == ServerStatus::Up || now < state.notified_at.saturating_add(grace)
