--- a/src/call_trace.rs
+++ b/src/call_trace.rs
@@ -1,9 +1,9 @@
-//! Call trace: the last steps of calls, in a ring buffer that never grows.
+//! Call trace: the most recent steps of all calls, in a ring buffer of fixed size.
 //!
-//! A frontend records each step of a call's life: when it was requested, where it was sent, by whom it was ended, on which
-//! connection its release was written and whether it was confirmed. When a call comes to a bad end, its steps are in the
-//! log, though nobody had asked for a log of every call. With target `call` at level `debug`, each step is logged as it
-//! happens.
+//! A frontend records each step of a call: when it was requested, to which server it was sent, who ended it, on which
+//! connection its release was written, and whether the release was confirmed. When a call ends badly, its steps are
+//! written to the log, so that it can be traced without logging every call. With target `call` at level `debug`, each
+//! step is logged when it is recorded.
 
 use std::cell::RefCell;
 use std::fmt;
@@ -12,60 +12,61 @@
 use crate::gateway::{Command, Input};
 use crate::{CallId, Micros, Outcome, ServerId};
 
-/// Steps kept: some 10 a call, so about 1,600 calls; at 50 calls a second half a minute.
+/// Maximum number of steps. A call has about 10 steps, so this covers about 1,600 calls, or 30 s at 50 calls per
+/// second.
 const CAPACITY: usize = 16 * 1024;
 
-/// The frontend's own number of a connection.
+/// Number of a connection, assigned by the frontend.
 type ConnectionId = u64;
 
-/// One step of a call's life. An attempt is given by its number, from 0.
+/// One step of a call. Attempts are identified by their number, from 0.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TraceStep {
-    /// A caller's request reached the core.
+    /// The core received the caller's request.
     Requested,
-    /// The caller cancelled it, or left.
+    /// The caller cancelled the call or disconnected.
     CancelledByCaller,
-    /// The caller released it while it was established.
+    /// The caller released the established call.
     ReleasedByCaller,
-    /// The server's answer to this attempt reached the core.
+    /// The core was notified that the server accepted this attempt.
     Established(u32),
-    /// The end of this attempt, or of the call established by it, reached the core.
+    /// The core was notified of the end of this attempt or of the call established by it.
     AttemptEnded(u32, Outcome),
-    /// The core sends this attempt to a server.
+    /// The core sent this attempt to a server.
     AttemptSent(u32, ServerId),
-    /// The core cancels this attempt.
+    /// The core cancelled this attempt.
     AttemptCancelled(u32),
-    /// The core releases at the server the call established by this attempt.
+    /// The core released the call established by this attempt at its server.
     ReleasedAtServer(u32),
-    /// The core's final answer: it is established.
+    /// The core's final answer: established.
     Accepted,
     /// The core's final answer: rejected, with this retry-after.
     Rejected(Micros),
     /// The core's final answer: failed.
     Failed,
-    /// It was established and is over; its caller is to be notified.
+    /// The established call has ended, with this outcome; its caller is to be notified.
     ReleasedToCaller(Outcome),
-    /// It was established by another process of this gatekeeper, and is this one's now.
+    /// The call, established by another process of this gatekeeper, was handed over to this one.
     Adopted,
-    /// It is established, and is another process's now.
+    /// The established call was handed over to another process.
     HandedOver,
-    /// Its request came on this connection.
+    /// The caller's request was received on this connection.
     RequestedOn(ConnectionId),
-    /// Its attempt goes to the server on this connection.
+    /// An attempt is sent to its server on this connection.
     AttemptOn(ConnectionId),
-    /// A server's message about it came on this connection.
+    /// A server's message about the call was received on this connection.
     ServerMessageOn(ConnectionId),
-    /// A caller's message about it came on this connection.
+    /// A caller's message about the call was received on this connection.
     CallerMessageOn(ConnectionId),
-    /// Its release is in the outbox of this connection.
+    /// The release to the caller was queued in the outbox of this connection.
     ReleaseQueuedOn(ConnectionId),
-    /// Its release waits for a connection.
+    /// The release to the caller waits for a connection.
     ReleasePending,
-    /// The connection ended with its release on it, unconfirmed.
+    /// This connection ended before the caller confirmed the release sent on it.
     ReleaseUnconfirmedOn(ConnectionId),
-    /// The caller has confirmed its release, on this connection.
+    /// The caller confirmed the release on this connection.
     ReleaseConfirmedOn(ConnectionId),
-    /// Its release was given up: no connection of its caller came.
+    /// The release was abandoned because the caller did not connect again.
     ReleaseExpired,
 }
 
@@ -79,11 +80,12 @@
 
 struct Ring {
     entries: Vec<TraceEntry>,
-    /// Where the next entry goes once the buffer is full.
+    /// Index of the oldest entry, which is replaced next, once the buffer is full; 0 before.
     next: usize,
 }
 
-/// The last steps of calls. A frontend's parts share it; none keeps it borrowed while it waits.
+/// The most recent steps of calls. Shared by the parts of a frontend, which must not keep it borrowed across an
+/// `await`.
 #[derive(Clone)]
 pub struct CallTrace(Rc<RefCell<Ring>>);
 
@@ -94,7 +96,7 @@
 }
 
 impl CallTrace {
-    /// Records a step. In a full buffer it replaces the oldest one.
+    /// Records a step. If the buffer is full, the step replaces the oldest one.
     pub fn record(&self, now: Micros, call: CallId, step: TraceStep) {
         tracing::debug!(target: "call", call = call.0, ?step);
         let entry = TraceEntry { at: now, call, step };
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Records what the core is told.
+    /// Records an input of the core, if it concerns a single call.
     pub fn record_input(&self, now: Micros, input: &Input) {
         let (call, step) = match input {
             Input::SetupRequested(request) => (request.call, TraceStep::Requested),
@@ -131,7 +133,7 @@
         self.record(now, call, step);
     }
 
-    /// Records what the core has done.
+    /// Records a command of the core, if it concerns a single call.
     pub fn record_command(&self, now: Micros, command: &Command) {
         let (call, step) = match command {
             Command::SendAttempt { attempt, server, .. } => {
@@ -155,7 +157,7 @@
         self.record(now, call, step);
     }
 
-    /// A call's steps, as far back as they are kept.
+    /// The steps of a call that are still in the buffer.
     pub fn steps_of(&self, call: CallId) -> CallSteps {
         let ring = self.0.borrow();
         let (newer, older) = ring.entries.split_at(ring.next);
@@ -164,7 +166,7 @@
     }
 }
 
-/// The steps of one call, in the order in which they happened.
+/// The steps of one call in chronological order. Displayed with the time since the previous step.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallSteps(pub Vec<(Micros, TraceStep)>);
 
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,21 +1,22 @@
-//! The system's clock. Only fronts use it; the core and the module are told the time.
+//! The system's clock. Only the frontends and other code that does I/O read it; the core and the decision module get
+//! the time as an argument.
 
 use std::sync::OnceLock;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 use crate::Micros;
 
-/// Unix time at the first question, and that moment by the clock that nobody sets.
+/// Unix time and monotonic time at the first call of [`now`].
 static CLOCK_START: OnceLock<(Micros, Instant)> = OnceLock::new();
 
-/// Unix time in microseconds, as it was at the first question and goes on from there: somebody who sets the system's clock
-/// moves no deadline.
+/// Unix time in microseconds: the wall clock at the first call, advanced by the monotonic clock, so that setting the
+/// system's clock does not move any deadline.
 pub fn now() -> Micros {
     let (unix, start) = CLOCK_START.get_or_init(|| (wall_clock(), Instant::now()));
     unix + start.elapsed().as_micros() as Micros
 }
 
-/// The clock that somebody may set. The fail point `wall` steps it, by seconds.
+/// The wall clock, in microseconds of Unix time. The fail point `wall` shifts it by a number of seconds.
 fn wall_clock() -> Micros {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |t| t.as_micros() as Micros);
     fail::fail_point!("wall", |by| {
--- a/src/driver.rs
+++ b/src/driver.rs
@@ -1,7 +1,8 @@
-//! What both frontends do alike with the core: feed it, carry its commands out, run its timers, and shut down.
+//! The parts that both frontends share: passing inputs to the core, executing its commands, running its timers, and
+//! shutting down.
 //!
-//! A [`Driver`] owns one frontend's core. The frontend owns its driver, sockets and connections; [`run`] owns the tasks and
-//! ends them when the frontend has stopped.
+//! A [`Driver`] owns the core of one frontend. The frontend owns its driver, sockets and connections; [`run`] owns the
+//! frontend's tasks and ends them when the frontend has stopped.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -23,37 +24,38 @@
 use crate::operate::serving_state::{OpenWork, ServingState};
 use crate::operate::{AdminService, FrontendStatus};
 
-/// At the end, what is queued on connections may take this long to be written.
+/// Time at shutdown for writing what is queued on connections.
 const FLUSH_DELAY: Duration = Duration::from_millis(120);
-/// What was queued at a listener when it closed is read and answered within this.
+/// Time after closing the listener for reading and answering the requests queued there.
 const LISTENER_DRAIN_DELAY: Duration = Duration::from_millis(50);
-/// A connection that is closed has ended after so many turns of the loop; it waits for nobody.
+/// Maximum number of scheduler turns to wait for closed connections to end. Closing never waits for the peer, so this
+/// is enough.
 const MAX_CLOSE_YIELDS: usize = 64;
 
-/// A frontend's core, with what surrounds it.
+/// A frontend's core with its trace, input queue, timers and serving state.
 pub struct Driver {
     /// The core.
     pub gateway: Gateway,
-    /// The last steps of calls.
+    /// Trace of the most recent steps of calls.
     pub trace: CallTrace,
-    /// Inputs that the core has not handled yet.
+    /// Inputs not yet passed to the core.
     pub inputs: VecDeque<Input>,
-    /// A buffer for the core's commands.
+    /// Reused buffer for the core's commands.
     commands: Vec<Command>,
-    /// Wakes the timer task when an earlier deadline has come up.
+    /// Wakes the timer task when the next deadline has become earlier.
     wake: Rc<Notify>,
-    /// Names of the classes, by their place in the settings.
+    /// Names of the classes, in the order of the settings.
     class_names: Vec<String>,
-    /// Whether clients are served.
+    /// Whether clients are accepted, and whether the process may exit.
     pub serving_state: ServingState,
-    /// When the last endpoint list came: before the first no call could go anywhere.
+    /// When the last endpoint list was received. Until the first one, no call can be sent to a server.
     pub list_received_at: Option<Micros>,
-    /// When the resolver last answered with a list, new or not.
+    /// When the resolver last answered with a list, changed or unchanged.
     pub last_list_response_at: Rc<Heard>,
 }
 
 impl Driver {
-    /// A driver for a new core, whose callers wait no longer than `max_wait`.
+    /// Creates a driver for a core whose callers wait at most `max_wait`.
     pub fn new(gateway: Gateway, class_names: Vec<String>, max_wait: Micros) -> Self {
         Driver {
             gateway,
@@ -68,12 +70,12 @@
         }
     }
 
-    /// Whether this process takes clients: it is in service, and there is an endpoint list.
+    /// Whether this process accepts clients: it is in service and has received an endpoint list.
     pub fn is_ready(&self) -> bool {
         self.list_received_at.is_some() && self.serving_state.takes_clients()
     }
 
-    /// The core's metrics now.
+    /// Current metrics of the core.
     pub fn metrics(&self) -> Metrics {
         let counters = self.gateway.counters().iter().copied();
         let servers = self.gateway.server_counts();
@@ -87,7 +89,7 @@
         }
     }
 
-    /// Whether the program has been told to stop and has nothing left to do.
+    /// Whether a stop has been requested and the open work allows the process to exit.
     fn may_exit(&self, now: Micros, client_connections: usize) -> bool {
         let open = OpenWork {
             pending_calls: self.gateway.pending_calls(),
@@ -98,33 +100,35 @@
     }
 }
 
-/// A protocol adapter: bytes in and out on one side, the core's inputs and commands on the other.
+/// A protocol adapter: translates between the bytes of client and server connections and the core's inputs and
+/// commands.
 pub trait Frontend {
-    /// How often [`maintain`](Frontend::maintain) is called, at least.
+    /// Maximum interval between calls of [`maintain`](Frontend::maintain).
     const MAINTENANCE_INTERVAL: Micros;
 
-    /// Its core and what surrounds that.
+    /// The driver of this frontend's core.
     fn driver(&mut self) -> &mut Driver;
 
-    /// How many client connections there are that ought to go to another process.
+    /// Number of client connections that must end, so that their clients move to another process, before this process
+    /// may exit.
     fn client_connections(&self) -> usize {
         0
     }
 
-    /// Closes the listener; what is queued there is still taken.
+    /// Closes the listener; connections queued there are still accepted.
     fn stop_listening(&mut self) {}
 
-    /// Ends every client connection, once what is queued on it has been written. What crosses that end finds a connection
-    /// that was closed in good order.
+    /// Closes every client connection after writing what is queued on it, in such a way that input that crosses the
+    /// close does not reset the connection.
     fn close_clients(&mut self) {}
 
-    /// Carries one of the core's commands out. What comes of it for the core goes to [`Driver::inputs`].
+    /// Executes one of the core's commands. Resulting inputs for the core are added to [`Driver::inputs`].
     fn carry_out(&mut self, command: Command);
 
-    /// Maintains connections and timers of its own.
+    /// Maintains the frontend's own connections and timers.
     fn maintain(&mut self, now: Micros);
 
-    /// Gives the core one input and carries out all that comes of it.
+    /// Passes one input to the core and executes all resulting commands.
     fn feed(&mut self, input: Input) {
         let before = self.driver().gateway.next_deadline();
         self.driver().inputs.push_back(input);
@@ -152,10 +156,10 @@
     }
 }
 
-/// The operators' limits, as they are from now on; `None`: there is no file.
+/// Receives the operators' limits when they change; `None` if there is no limits file.
 pub type LimitPlanReceiver = watch::Receiver<Option<Rc<Plan>>>;
 
-/// Gives the core other limits when they change, for ever.
+/// Passes changed limits to the core. Never returns.
 pub async fn follow_limits<F: Frontend>(frontend: &RefCell<F>, mut plans: LimitPlanReceiver) {
     while plans.changed().await.is_ok() {
         let plan = plans.borrow_and_update().clone();
@@ -184,19 +188,19 @@
     }
 }
 
-/// What the fleet's membership says from moment to moment; `None`: there is no fleet.
+/// Receives the fleet's membership with its settling bound when either changes; `None` if there is no fleet.
 pub type MembershipReceiver = Option<watch::Receiver<(Micros, MembershipSummary)>>;
 
-/// Tells the core how many gatekeepers share the servers, for ever. With what is seen comes how long a fall has to be
-/// settled: it grows with the fleet.
+/// Passes the number of gatekeepers that share the servers to the core when it changes. Never returns. Each update
+/// carries the settling bound, the time for which a lower count must last before it is used; it grows with the fleet.
 async fn follow_live_instances<F: Frontend>(frontend: &RefCell<F>, membership: MembershipReceiver) {
     let Some(mut updates) = membership else { return std::future::pending().await };
     let configured = frontend.borrow_mut().driver().gateway.configured_gatekeepers();
     let mut live_instances = LiveInstances::new(configured);
     let mut in_use = configured;
     while updates.changed().await.is_ok() {
-        let (detection_bound, summary) = *updates.borrow_and_update();
-        let count = live_instances.update(clock::now(), detection_bound, summary);
+        let (settling_bound, summary) = *updates.borrow_and_update();
+        let count = live_instances.update(clock::now(), settling_bound, summary);
         if count != in_use {
             tracing::info!(target: "fleet", from = in_use, to = count, "gatekeepers that share the servers");
             frontend.borrow_mut().driver().gateway.set_gatekeepers(count);
@@ -206,7 +210,8 @@
     std::future::pending().await
 }
 
-/// Runs a frontend's tasks until it is told to stop and has nothing left to do. `tasks` go on for ever.
+/// Runs a frontend's tasks until `stop` completes and the frontend has no work left. `tasks` is expected never to
+/// complete.
 pub async fn run<F: Frontend + 'static>(
     frontend: Rc<RefCell<F>>,
     admin: Rc<AdminService>,
@@ -245,8 +250,9 @@
     }
 }
 
-/// All calls have ended; what is queued is written, and what still comes is rejected, until the last connection is closed.
-/// Guards against an exit over what is unread: it resets connections and queues, and nobody is notified.
+/// Closes all connections after all calls have ended: writes what is queued, and rejects requests that still arrive
+/// until the last connection is closed. If the process exited with unread input, the connections and the listener's
+/// queue would be reset and those callers would get no answer.
 async fn close_connections<F: Frontend>(frontend: &RefCell<F>) {
     tokio::time::sleep(FLUSH_DELAY).await;
     frontend.borrow_mut().stop_listening();
@@ -271,19 +277,21 @@
             () = tokio::time::sleep(wait) => {}
             () = wake.notified() => {}
         }
-        // Whoever has left by now is heard first: what waited for this moment goes out for those who are still there.
+        // Read pending input before the timers run, so that a disconnected caller is noticed before anything is sent on
+        // its behalf.
         link::read_pending_input().await;
     }
 }
 
-/// Runs what is due and returns when the next timer is; `None` once the frontend has stopped and the core is shut down.
+/// Runs all due timers and returns the time of the next one; `None` once the frontend has stopped and the core is shut
+/// down.
 fn run_due_timers<F: Frontend>(frontend: &mut F) -> Option<Micros> {
     let now = clock::now();
     frontend.feed(Input::Tick);
     frontend.maintain(now);
     let client_connections = frontend.client_connections();
     if frontend.driver().may_exit(now, client_connections) {
-        // Whatever still comes while connections are flushed is rejected: nobody would see it through.
+        // Calls that arrive while connections are flushed are rejected, because they could not be completed.
         frontend.driver().gateway.reject_new_calls(Some(0));
         frontend.feed(Input::Shutdown);
         return None;
--- a/src/link.rs
+++ b/src/link.rs
@@ -1,9 +1,9 @@
-//! One connection: its input buffer, its bounded output queue and the loop that reads and writes. It never blocks on a
-//! peer that does not read.
+//! A connection's input buffer, its bounded output queue, and the loop that reads and writes. The loop never blocks
+//! on a peer that does not read.
 //!
-//! Three rules:
+//! It follows three rules:
 //!
-//! - Pending input is read before anything more is written, so that a peer that has closed is noticed first, and its
+//! - Pending input is read before more output is written, so that a close by the peer is noticed first and the peer's
 //!   last input is read even if writing fails.
 //! - A queued message can be withdrawn until its first byte has been handed to the operating system.
 //! - An idle close is cancelled if input from the peer arrived before it.
@@ -20,26 +20,26 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout_at};
 
-/// Maximum size of the output queue in bytes; a peer that lets more accumulate is disconnected.
+/// Maximum size of the output queue in bytes. A connection whose queue would exceed it is closed.
 const MAX_OUTBOX_BYTES: usize = 256 * 1024;
-/// Length of the listener's backlog.
+/// Maximum number of connections that wait to be accepted.
 const LISTEN_BACKLOG: u32 = 1024;
-/// Initial capacity of the input buffer; it grows as its messages need.
+/// Initial capacity of the input buffer, which grows for larger messages.
 const INITIAL_BUFFER_BYTES: usize = 2 * 1024;
 
-/// Opens a listener whose address a second process of the same user may share: during an upgrade the new process starts
-/// while the old one still runs.
+/// Opens a listener whose address another process of the same user may share: during an upgrade the new process starts
+/// while the old one is still running.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
     if let Err(e) = socket.set_reuseport(true) {
-        tracing::warn!(error = %e, "no second process can listen beside this one: upgrades will refuse connections");
+        tracing::warn!(error = %e, "cannot share the listen address (SO_REUSEPORT): upgrades will refuse connections");
     }
     socket.bind(address)?;
     socket.listen(LISTEN_BACKLOG)
 }
 
-/// Identifies a message in an outbox; numbers increase.
+/// Identifies a message in an outbox. Tickets increase in the order in which messages are queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Ticket(u64);
 
@@ -51,23 +51,25 @@
     closing: Cell<Closing>,
 }
 
+/// Whether a connection's close has been requested.
 #[derive(Clone, Copy, Default, PartialEq)]
 enum Closing {
     #[default]
     No,
-    /// Closed as idle: pending input is read first and may keep the connection open.
+    /// Close requested for an idle connection: pending input is read first and may cancel the close.
     IfIdle,
+    /// Close requested unconditionally.
     Now,
 }
 
 #[derive(Default)]
 struct OutboxQueue {
     bytes: BytesMut,
-    /// Unwritten size of each message in `bytes`, in order.
+    /// Ticket and unwritten size of each message in `bytes`, in order.
     messages: VecDeque<(Ticket, usize)>,
-    /// Whether the first message has been written in part.
+    /// Whether part of the first message has been written.
     is_first_partly_written: bool,
-    /// Number of the most recently queued message.
+    /// Ticket number of the most recently queued message.
     last_ticket: u64,
 }
 
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Offset, index and size of a message of which nothing has been written yet.
+    /// Offset, index and size of a queued message; `None` if any part of it has been written.
     fn find(&self, ticket: Ticket) -> Option<(usize, usize, usize)> {
         let index = self.messages.iter().position(|(t, _)| *t == ticket)?;
         let offset = self.messages.iter().take(index).map(|(_, size)| size).sum();
@@ -102,8 +104,8 @@
 }
 
 impl Outbox {
-    /// Queues a message; `None` if the connection is closed, or is closed now because its queue is full.
-    /// Cancels a pending idle close.
+    /// Queues a message and cancels a pending idle close. Returns `None` if the connection is closed; if the queue is
+    /// full, closes it and returns `None`.
     pub fn push(&self, message: &[u8]) -> Option<Ticket> {
         if !self.cancel_idle_close() {
             return None;
@@ -127,7 +129,7 @@
         true
     }
 
-    /// Whether a message that was not withdrawn has been written in full.
+    /// Whether a message has been written in full. Not meaningful for a withdrawn message.
     pub fn has_written(&self, ticket: Ticket) -> bool {
         let queue = self.queue.borrow();
         queue.messages.front().is_none_or(|(first, _)| ticket < *first)
@@ -150,13 +152,13 @@
         self.queued_bytes() == 0
     }
 
-    /// Closes the connection after writing as much of the queue as the peer accepts without blocking.
+    /// Closes the connection after writing as much of the queue as is possible without blocking.
     pub fn close(&self) {
         self.closing.set(Closing::Now);
         self.wake.notify_one();
     }
 
-    /// Closes the connection as idle, unless pending input keeps it open.
+    /// Closes an idle connection, unless pending input or a new message cancels the close.
     pub fn close_if_idle(&self) {
         if self.closing.get() == Closing::No {
             self.closing.set(Closing::IfIdle);
@@ -164,7 +166,7 @@
         }
     }
 
-    /// Marks the connection as in use, which cancels an idle close; false if it is closed.
+    /// Cancels a pending idle close; false if the connection is closed.
     pub fn cancel_idle_close(&self) -> bool {
         if self.closing.get() == Closing::IfIdle {
             self.closing.set(Closing::No);
@@ -177,7 +179,7 @@
         self.closing.get() == Closing::No
     }
 
-    /// Writes what the peer accepts without blocking, after the connection's loop has ended.
+    /// Writes as much of the queue as is possible without blocking, after the connection's loop has ended.
     pub fn flush_without_blocking(&self, stream: &impl SplitStream) {
         let mut queue = self.queue.borrow_mut();
         let size = stream.flush_without_blocking(&queue.bytes).unwrap_or(0);
@@ -185,18 +187,19 @@
     }
 }
 
-/// A stream that can be split into a read half and a write half.
+/// A stream that can be split into its read half and its write half.
 pub trait SplitStream {
-    /// The read half and the write half.
+    /// Borrows the stream as a read half and a write half.
     fn split_halves(&mut self) -> (impl AsyncRead + Unpin, impl TryWrite);
 
-    /// Writes what the peer accepts without blocking, before the stream is dropped.
+    /// Writes as much of `bytes` as is possible without blocking, before the stream is dropped. Returns the number of
+    /// bytes written.
     fn flush_without_blocking(&self, bytes: &[u8]) -> io::Result<usize>;
 }
 
 /// The write half of a stream.
 pub trait TryWrite {
-    /// Writes what the peer accepts without blocking.
+    /// Writes as much of `bytes` as is possible without blocking. Returns the number of bytes written.
     fn try_write_bytes(&self, bytes: &[u8]) -> io::Result<usize>;
 
     /// Waits until the stream is writable.
@@ -231,26 +234,27 @@
 impl_stream!(TcpStream, tcp::WriteHalf<'_>, |s: &TcpStream| drop(s.set_nodelay(true)));
 impl_stream!(UnixStream, unix::WriteHalf<'_>, |_: &UnixStream| ());
 
-/// Scheduler turns after which pending input has been read: one in which the runtime polls its sockets (the previous poll
-/// may have returned for timers alone), and one in which the reading tasks run.
+/// Number of scheduler turns after which pending input has been read: one in which the runtime polls its sockets (the
+/// previous poll may have returned for timers only), and one in which the reading tasks run.
 const YIELDS_TO_READ_PENDING: usize = 2;
-/// Consecutive reads after which the writing half runs, so that a peer that sends without pause is still answered.
+/// Number of consecutive reads after which the reader yields to the writer, so that a peer that sends continuously is
+/// still answered.
 const READS_PER_YIELD: u64 = 16;
 
-/// Returns once the reading tasks have read all input that is pending now.
+/// Returns after all currently pending input has been read by the reading tasks.
 pub async fn read_pending_input() {
     for _ in 0..YIELDS_TO_READ_PENDING {
         tokio::task::yield_now().await;
     }
 }
 
-/// Reads and writes a connection until it ends. `on_bytes` removes whole messages from the front of the buffer and leaves
-/// the rest; it returns false to end the connection. `on_drained` is called when everything queued has been written.
-/// A message must be complete within `whole` of its first byte, because a peer that stops in the middle of one blocks
-/// everything after it.
+/// Reads and writes a connection until it ends. `on_bytes` removes complete messages from the front of the buffer and
+/// leaves the rest; it returns false to end the connection. `on_drained` is called when everything queued has been
+/// written. A message must be complete within `message_timeout` of its first byte, because a peer that stops in the
+/// middle of a message blocks all later ones.
 ///
-/// What is still queued when the peer has closed the connection is for the caller to withdraw or to write
-/// ([`Outbox::flush_without_blocking`]).
+/// Output that is still queued after the peer has closed the connection is left to the calling function, which may
+/// withdraw it or write it ([`Outbox::flush_without_blocking`]).
 pub async fn run(
     stream: &mut impl SplitStream,
     outbox: &Outbox,
@@ -269,9 +273,9 @@
         result = write(output, outbox, on_drained) => result,
     };
     outbox.close();
-    // Input that arrived before the end is still read. After a reset by the peer that is everything up to the reset. When
-    // this side closes, it is what is pending: closing a socket with unread input resets the connection, and a reset can
-    // discard what was written last.
+    // Read the input that arrived before the end. After a write error, that is everything up to the peer's close or
+    // reset, within `message_timeout`. If this side closes, it is the pending input: closing a socket with unread
+    // input resets the connection, and the reset can discard the last output.
     let rest = async {
         if written.is_err() {
             return tokio::time::sleep(message_timeout).await;
