--- a/src/gateway/tests.rs
+++ b/src/gateway/tests.rs
@@ -1,4 +1,4 @@
-//! The core's checks of the rules, each made to fail by asking for what the decision module never asks for.
+//! Tests of the core. The checks of its rules are made to fail by requests that the decision module never makes.
 
 use bytes::Bytes;
 use proptest::prelude::*;
@@ -15,37 +15,37 @@
 struct Harness {
     gateway: Gateway,
     now: Micros,
-    out: Vec<Command>,
+    commands: Vec<Command>,
 }
 
 impl Harness {
     fn feed(&mut self, input: Input) -> Vec<Command> {
-        self.gateway.handle(self.now, input, &mut self.out);
-        std::mem::take(&mut self.out)
+        self.gateway.handle(self.now, input, &mut self.commands);
+        std::mem::take(&mut self.commands)
     }
 
-    /// Asks for an attempt that the decision module has not asked for.
+    /// Requests an attempt of [`CALL`] that the decision module has not requested.
     fn force_attempt(&mut self, server: u32) -> Vec<Command> {
         self.gateway.now = self.now;
-        self.gateway.send_attempt(CALL, ServerId(server), 0, &mut self.out);
-        std::mem::take(&mut self.out)
+        self.gateway.send_attempt(CALL, ServerId(server), 0, &mut self.commands);
+        std::mem::take(&mut self.commands)
     }
 
-    fn update_list(&mut self, scope: EndpointListScope, lines: &[(u32, ServerStatus)]) -> Vec<Command> {
-        let line = |(server, status): &(u32, ServerStatus)| ServerEntry {
+    fn update_list(&mut self, scope: EndpointListScope, servers: &[(u32, ServerStatus)]) -> Vec<Command> {
+        let entry = |(server, status): &(u32, ServerStatus)| ServerEntry {
             server: ServerId(*server),
             pool: PoolId((*server).into()),
             started_at: 0,
             status: *status,
         };
         let notified_at = self.now;
-        self.feed(Input::EndpointList { notified_at, scope, entries: lines.iter().map(line).collect() })
+        self.feed(Input::EndpointList { notified_at, scope, entries: servers.iter().map(entry).collect() })
     }
 
-    fn request(&mut self, call: CallId, name: &str) -> Vec<Command> {
+    fn request(&mut self, call: CallId, wire_id: &str) -> Vec<Command> {
         self.feed(Input::SetupRequested(SetupRequest {
             call,
-            wire_id: name.into(),
+            wire_id: wire_id.into(),
             class: 0,
             number: Number(5),
             dialled_number: "5".into(),
@@ -62,7 +62,7 @@
     }
 }
 
-/// Two servers, and a call that is out at the first.
+/// A gateway with two servers and a pending call whose attempt is in flight at the first one.
 #[fixture]
 fn harness() -> Harness {
     let class = Class {
@@ -76,7 +76,8 @@
     let classes = vec![class];
     let settings =
         Settings { gatekeepers: 1, classes, tick: 5 * MS, max_attempts: 4, rules, ..Settings::default() };
-    let mut harness = Harness { gateway: Gateway::new(settings, 7), now: 1_000_000 * MS, out: Vec::new() };
+    let mut harness =
+        Harness { gateway: Gateway::new(settings, 7), now: 1_000_000 * MS, commands: Vec::new() };
     harness.update_list(EndpointListScope::Complete, &[(0, ServerStatus::Up), (1, ServerStatus::Up)]);
     let sent = harness.request(CALL, "one");
     assert!(
@@ -86,45 +87,45 @@
     harness
 }
 
-fn is_one_violation(commands: &[Command]) -> bool {
+fn is_single_violation(commands: &[Command]) -> bool {
     matches!(commands, [Command::ReportViolation(_)])
 }
 
 #[rstest]
-fn sends_no_second_attempt_while_one_is_in_flight(mut harness: Harness) {
-    assert!(is_one_violation(&harness.force_attempt(1)));
+fn second_attempt_in_flight_is_forbidden(mut harness: Harness) {
+    assert!(is_single_violation(&harness.force_attempt(1)));
 }
 
 #[rstest]
-fn sends_nothing_to_a_draining_server_past_the_window(mut harness: Harness) {
+fn attempt_to_draining_server_is_forbidden_after_the_drain_window(mut harness: Harness) {
     harness.end_attempt(Outcome::Rejected);
     harness.update_list(EndpointListScope::Changes, &[(1, ServerStatus::Draining)]);
     harness.now += 100 * MS;
     harness.update_list(EndpointListScope::Changes, &[(1, ServerStatus::Removed)]);
     harness.now += 150 * MS;
-    assert!(is_one_violation(&harness.force_attempt(1)), "the removal did not start the window again");
-    assert!(is_one_violation(&harness.force_attempt(7)), "nothing to a server that was never listed");
+    assert!(is_single_violation(&harness.force_attempt(1)), "the removal did not restart the window");
+    assert!(is_single_violation(&harness.force_attempt(7)), "no attempt to a server that was never listed");
 }
 
 #[rstest]
-#[case::cut(Outcome::Reset)]
+#[case::reset(Outcome::Reset)]
 #[case::timed_out(Outcome::TimedOut)]
 #[case::cancelled(Outcome::Cancelled)]
-fn sends_nothing_before_the_release_wait_is_over(mut harness: Harness, #[case] outcome: Outcome) {
-    let sent = |c: &[Command]| c.iter().any(|c| matches!(c, Command::SendAttempt { .. }));
-    assert!(!sent(&harness.end_attempt(outcome)));
+fn attempt_is_forbidden_during_the_release_wait(mut harness: Harness, #[case] outcome: Outcome) {
+    let has_attempt = |c: &[Command]| c.iter().any(|c| matches!(c, Command::SendAttempt { .. }));
+    assert!(!has_attempt(&harness.end_attempt(outcome)));
     harness.now += 499 * MS;
-    assert!(is_one_violation(&harness.force_attempt(1)));
+    assert!(is_single_violation(&harness.force_attempt(1)));
     harness.now += MS;
-    assert!(sent(&harness.feed(Input::Tick)), "the decision module's own retry passes");
+    assert!(has_attempt(&harness.feed(Input::Tick)), "the decision module's own retry is sent");
 }
 
-/// A caller may send a call again, unchanged, the moment it has its answer; the release wait holds for it too.
+/// A caller may repeat a call unchanged as soon as it has its answer. The release wait applies to the repeat as well.
 #[rstest]
 #[case::cancelled(Input::SetupCancelled(CALL), false)]
 #[case::released(Input::CallReleased(CALL), true)]
-#[case::cut(Input::ServerTerminated { server: ServerId(0), at: Micros::MAX }, true)]
-fn same_wire_id_again_waits_for_the_release(
+#[case::server_terminated(Input::ServerTerminated { server: ServerId(0), at: Micros::MAX }, true)]
+fn reused_wire_id_is_rejected_during_the_release_wait(
     mut harness: Harness,
     #[case] end: Input,
     #[case] is_established: bool,
@@ -142,15 +143,15 @@
 }
 
 #[rstest]
-fn call_gets_one_final_answer(mut harness: Harness) {
+fn call_gets_only_one_final_answer(mut harness: Harness) {
     let description = Bytes::from_static(b"answer");
     let established = Input::Established { attempt: ATTEMPT, description: description.clone() };
     assert_eq!(harness.feed(established.clone()), [Command::Accept { call: CALL, description }]);
     assert_eq!(harness.feed(established), []);
-    let mut out = Vec::new();
-    harness.gateway.fail(CALL, &mut out);
-    harness.gateway.reject(CALL, 5, &mut out);
-    assert_eq!(out, []);
+    let mut commands = Vec::new();
+    harness.gateway.fail(CALL, &mut commands);
+    harness.gateway.reject(CALL, 5, &mut commands);
+    assert_eq!(commands, []);
     assert_eq!(
         harness.end_attempt(Outcome::Completed),
         [Command::ReleaseToCaller { call: CALL, outcome: Outcome::Completed }]
@@ -158,7 +159,7 @@
     assert_eq!(harness.end_attempt(Outcome::Completed), []);
 }
 
-/// A call of which the decision module knows nothing is still answered by its deadline.
+/// A call that the decision module never answers, because here no event reports it, fails shortly after its deadline.
 #[rstest]
 fn call_without_a_decision_fails_at_its_deadline(mut harness: Harness) {
     let due = harness.now + 100 * MS;
@@ -172,40 +173,43 @@
         [Command::CancelAttempt { attempt: cancelled, server: ServerId(0) }]
     );
     harness.now = harness.gateway.next_deadline().unwrap();
-    let last = harness.feed(Input::Tick);
-    assert!(matches!(last[..], [Command::ReportViolation(_), Command::Fail { call: CallId(2) }]), "{last:?}");
+    let answer = harness.feed(Input::Tick);
+    assert!(
+        matches!(answer[..], [Command::ReportViolation(_), Command::Fail { call: CallId(2) }]),
+        "{answer:?}"
+    );
     assert!(harness.now <= due + 20 * MS);
 }
 
-/// What a server held from before its restart is cut; what it took since goes on.
+/// Calls that a server accepted before its restart are reset; later calls continue.
 #[rstest]
-fn server_restart_cuts_calls_established_before_it(mut harness: Harness) {
+fn server_restart_resets_calls_established_before_it(mut harness: Harness) {
     harness.feed(Input::Established { attempt: ATTEMPT, description: Bytes::new() });
     let at = harness.now;
     assert_eq!(harness.feed(Input::ServerTerminated { server: ServerId(0), at: at - 1 }), []);
-    let cut = [Command::ReleaseToCaller { call: CALL, outcome: Outcome::Reset }];
-    assert_eq!(harness.feed(Input::ServerTerminated { server: ServerId(0), at }), cut);
+    let release = [Command::ReleaseToCaller { call: CALL, outcome: Outcome::Reset }];
+    assert_eq!(harness.feed(Input::ServerTerminated { server: ServerId(0), at }), release);
     assert_eq!(harness.gateway.established_calls(), 0);
 }
 
-/// At shutdown a pending call is rejected where nothing of it may have run, and fails where something may.
+/// At shutdown a pending call without an attempt in flight is rejected; one whose attempt may have run fails.
 #[rstest]
 fn shutdown_answers_pending_calls(mut harness: Harness) {
     let entry = CallEntry::pending("two".into(), 0, harness.now + 100 * MS, Bytes::new());
     harness.gateway.calls.insert_pending(CallId(2), entry);
-    let out = harness.feed(Input::Shutdown);
+    let commands = harness.feed(Input::Shutdown);
     let cancelled = Command::CancelAttempt { attempt: ATTEMPT, server: ServerId(0) };
     assert_eq!(
-        out,
+        commands,
         [cancelled, Command::Fail { call: CALL }, Command::Reject { call: CallId(2), retry_after: 0 }]
     );
     assert_eq!((harness.gateway.pending_calls(), harness.gateway.next_deadline().is_some()), (0, true));
 }
 
-/// What may happen to a random call at a random time.
+/// A random event in the property test; the numbers select calls and servers.
 #[derive(Clone, Debug)]
 enum Step {
-    Request { left: Micros, class: usize },
+    Request { time_left: Micros, class: usize },
     Establish(u64),
     EndAttempt(u64, Outcome),
     Cancel(u64),
@@ -226,7 +230,7 @@
         Just(Outcome::NotSent),
     ];
     prop_oneof![
-        4 => (1..3_000u64, 0..3usize).prop_map(|(ms, class)| Step::Request { left: ms * MS, class }),
+        4 => (1..3_000u64, 0..3usize).prop_map(|(ms, class)| Step::Request { time_left: ms * MS, class }),
         3 => call.clone().prop_map(Step::Establish),
         3 => (call.clone(), outcome).prop_map(|(call, outcome)| Step::EndAttempt(call, outcome)),
         1 => call.clone().prop_map(Step::Cancel),
@@ -238,32 +242,32 @@
 }
 
 proptest! {
-    /// Over any schedule each call that was taken is in one count or in flight, each final answer is counted as what it
-    /// said, and nothing falls.
+    /// For any schedule, each requested call is pending or in exactly one counter, each final answer is counted under
+    /// its kind, and no counter decreases.
     #[test]
     fn each_call_is_counted_once(schedule in proptest::collection::vec(any_step(), 1..120)) {
         let class = Class { latency_objective: 2_000 * MS, priority_weight: 1.0, late_weight_share: 0.25, pools: None, is_idempotent: true };
         let rules = Rules { drain_grace: 250 * MS, release_wait: 500 * MS, ..Rules::default() };
         let classes = vec![class.clone(), class];
         let settings = Settings { gatekeepers: 1, classes, tick: 5 * MS, max_attempts: 4, rules, ..Settings::default() };
-        let mut harness = Harness { gateway: Gateway::new(settings, 7), now: 1_000_000 * MS, out: Vec::new() };
+        let mut harness = Harness { gateway: Gateway::new(settings, 7), now: 1_000_000 * MS, commands: Vec::new() };
         harness.update_list(EndpointListScope::Complete, &[(0, ServerStatus::Up), (1, ServerStatus::Up)]);
-        let (mut last, mut taken, mut unknown) = (vec![ClassCounters::default(); 2], 0u64, 0u64);
-        // What went out: the latest attempt of each call, and the answers.
+        let (mut last, mut requested, mut unknown_class) = (vec![ClassCounters::default(); 2], 0u64, 0u64);
+        // Observed commands: the latest attempt of each call, and the number of final answers by kind.
         let mut attempts = std::collections::HashMap::new();
-        let (mut answers, mut refusals, mut failures) = (0u64, 0u64, 0u64);
+        let (mut accepted, mut rejected, mut failed) = (0u64, 0u64, 0u64);
         for step in schedule.into_iter().map(Some).chain([None]) {
             let (cause, load) = (Cause::Unspecified, LoadReport::default());
             let attempt = |call: u64| attempts.get(&CallId(call)).copied();
-            let since = harness.now;
+            let now = harness.now;
             let input = match step {
-                Some(Step::Request { left, class }) => {
-                    taken += 1;
-                    unknown += u64::from(class > 1);
-                    let call = CallId(taken);
-                    let (name, dialled) = (taken.to_string().into(), "5".into());
-                    let (number, first_choice, description) = (Number(taken), PoolId(0), Bytes::new());
-                    Input::SetupRequested(SetupRequest { call, wire_id: name, class, number, dialled_number: dialled, first_choice, time_left: left, is_redial: false, description })
+                Some(Step::Request { time_left, class }) => {
+                    requested += 1;
+                    unknown_class += u64::from(class > 1);
+                    let call = CallId(requested);
+                    let (wire_id, dialled_number) = (requested.to_string().into(), "5".into());
+                    let (number, first_choice, description) = (Number(requested), PoolId(0), Bytes::new());
+                    Input::SetupRequested(SetupRequest { call, wire_id, class, number, dialled_number, first_choice, time_left, is_redial: false, description })
                 }
                 Some(Step::Establish(call)) => match attempt(call) {
                     Some(attempt) => Input::Established { attempt, description: Bytes::new() },
@@ -275,10 +279,10 @@
                 },
                 Some(Step::Cancel(call)) => Input::SetupCancelled(CallId(call)),
                 Some(Step::Release(call)) => Input::CallReleased(CallId(call)),
-                Some(Step::TerminateServer(server)) => Input::ServerTerminated { server: ServerId(server), at: since },
-                Some(Step::LoseServer(server)) => Input::ServerUnreachable { server: ServerId(server), last_heard_at: since },
-                Some(Step::Wait(by)) => {
-                    harness.now += by;
+                Some(Step::TerminateServer(server)) => Input::ServerTerminated { server: ServerId(server), at: now },
+                Some(Step::LoseServer(server)) => Input::ServerUnreachable { server: ServerId(server), last_heard_at: now },
+                Some(Step::Wait(duration)) => {
+                    harness.now += duration;
                     Input::Tick
                 }
                 None => Input::Shutdown,
@@ -286,25 +290,25 @@
             for command in harness.feed(input) {
                 match command {
                     Command::SendAttempt { attempt, .. } => drop(attempts.insert(attempt.call, attempt)),
-                    Command::Accept { .. } => answers += 1,
-                    Command::Reject { .. } => refusals += 1,
-                    Command::Fail { .. } => failures += 1,
+                    Command::Accept { .. } => accepted += 1,
+                    Command::Reject { .. } => rejected += 1,
+                    Command::Fail { .. } => failed += 1,
                     _ => {}
                 }
             }
-            let counts = harness.gateway.counters().to_vec();
+            let counters = harness.gateway.counters().to_vec();
             let mut sum = ClassCounters::default();
-            for (now, was) in counts.iter().zip(&last) {
-                let of = |c: &ClassCounters| [c.requested, c.served, c.rejected, c.failed, c.cancelled];
-                prop_assert!(of(now).iter().zip(of(was)).all(|(now, was)| *now >= was), "{was:?} > {now:?}");
-                sum.add(now);
+            for (new, old) in counters.iter().zip(&last) {
+                let values = |c: &ClassCounters| [c.requested, c.served, c.rejected, c.failed, c.cancelled];
+                prop_assert!(values(new).iter().zip(values(old)).all(|(new, old)| *new >= old), "{old:?} > {new:?}");
+                sum.add(new);
             }
-            let open = harness.gateway.pending_calls() as u64;
-            prop_assert_eq!(sum.requested, taken - unknown);
-            prop_assert_eq!(sum.requested, sum.served + sum.rejected + sum.failed + sum.cancelled + open);
-            // A call of a class that does not exist fails at once, and is in no count.
-            prop_assert_eq!([sum.served, sum.rejected, sum.failed], [answers, refusals, failures - unknown]);
-            last = counts;
+            let pending = harness.gateway.pending_calls() as u64;
+            prop_assert_eq!(sum.requested, requested - unknown_class);
+            prop_assert_eq!(sum.requested, sum.served + sum.rejected + sum.failed + sum.cancelled + pending);
+            // A call of an unknown class fails at once and is not counted.
+            prop_assert_eq!([sum.served, sum.rejected, sum.failed], [accepted, rejected, failed - unknown_class]);
+            last = counters;
         }
         prop_assert_eq!(harness.gateway.pending_calls() + harness.gateway.established_calls(), 0);
     }
