--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,10 @@
-//! cobaltspool is a gatekeeper: it decides how calls are set up at shared setup servers, which server gets each call,
-//! when an overloaded server gets no new calls, when a call is held, and when it is rejected. It follows Kaufman et
-//! al., "A Distributed Traffic Overload Control Scheme for a Loosely Coupled Switching Architecture", from the sender's
-//! side: each gatekeeper goes by its own traffic alone.
+//! cobaltspool is a gatekeeper: it decides how calls are set up at shared setup servers, which server each call is sent
+//! to, when an overloaded server gets no new calls, when a call is deferred, and when it is rejected. It implements the
+//! sender's side of Kaufman et al., "A Distributed Traffic Overload Control Scheme for a Loosely Coupled Switching
+//! Architecture": each gatekeeper bases its decisions on its own traffic alone.
 //!
-//! The decisions are [`Controller`]'s: it does no I/O, keeps no clock and starts no threads. The embedding program feeds
-//! events, each with its time, and carries out the actions:
+//! [`Controller`] makes the decisions. It does no I/O, reads no clock and starts no threads. The embedding program
+//! passes events, each with its time, and carries out the actions:
 //!
 //! ```
 //! use cobaltspool::*;
@@ -24,9 +24,10 @@
 //!     ..Settings::default()
 //! };
 //! let mut controller = Controller::new(settings, 7);
-//! let mut out = Vec::new();
+//! let mut actions = Vec::new();
 //! let entry = ServerEntry { server: ServerId(0), pool: PoolId(0), started_at: 0, status: ServerStatus::Up };
-//! controller.handle(1_000, Event::EndpointList { scope: EndpointListScope::Complete, entries: vec![entry] }, &mut out);
+//! let list = Event::EndpointList { scope: EndpointListScope::Complete, entries: vec![entry] };
+//! controller.handle(1_000, list, &mut actions);
 //! let call = Event::Call(NewCall {
 //!     call: CallId(1),
 //!     class: 0,
@@ -37,8 +38,8 @@
 //!     in_transit: false,
 //!     max_attempts: 4,
 //! });
-//! controller.handle(1_000, call, &mut out);
-//! assert!(out.iter().any(|a| matches!(a, Action::Attempt { call: CallId(1), server: ServerId(0), .. })));
+//! controller.handle(1_000, call, &mut actions);
+//! assert!(actions.iter().any(|a| matches!(a, Action::Attempt { call: CallId(1), server: ServerId(0), .. })));
 //! ```
 
 mod call_trace;
--- a/tests/policy_harness/mod.rs
+++ b/tests/policy_harness/mod.rs
@@ -1,4 +1,4 @@
-//! A scripted clock around one controller: fires its timers, keeps its actions.
+//! A test harness that runs one controller with a simulated clock, fires its timers and records its actions.
 #![allow(dead_code)]
 
 use cobaltspool::*;
@@ -10,14 +10,14 @@
     pub controller: Controller,
     pub now: Micros,
     pub timers: Vec<(Micros, u64)>,
-    /// Every action with its time.
+    /// All actions other than timers, each with its time.
     pub log: Vec<(Micros, Action)>,
 }
 
 pub fn settings() -> Settings {
-    let class = |aim, worth| Class {
-        latency_objective: aim,
-        priority_weight: worth,
+    let class = |latency_objective, priority_weight| Class {
+        latency_objective,
+        priority_weight,
         late_weight_share: 0.25,
         pools: None,
         is_idempotent: true,
@@ -54,8 +54,8 @@
 }
 
 impl PolicyHarness {
-    pub fn with(set: Settings, servers: u32) -> PolicyHarness {
-        let controller = Controller::new(set, 11);
+    pub fn with(settings: Settings, servers: u32) -> PolicyHarness {
+        let controller = Controller::new(settings, 11);
         let mut harness = PolicyHarness { controller, now: 100 * SEC, timers: Vec::new(), log: Vec::new() };
         harness.list(EndpointListScope::Restored, (0..servers).map(entry_up).collect());
         harness
@@ -66,9 +66,9 @@
     }
 
     pub fn event(&mut self, event: Event) {
-        let mut out = Vec::new();
-        self.controller.handle(self.now, event, &mut out);
-        for action in out {
+        let mut actions = Vec::new();
+        self.controller.handle(self.now, event, &mut actions);
+        for action in actions {
             if let Action::SetTimer { delay, key } = action {
                 self.timers.push((self.now + delay, key));
             } else {
@@ -81,7 +81,7 @@
         self.event(Event::EndpointList { scope, entries });
     }
 
-    /// Runs the clock on by `span`, firing timers.
+    /// Advances the clock by `span` and fires the timers that become due.
     pub fn advance(&mut self, span: Micros) {
         let end = self.now + span;
         while let Some(n) = (0..self.timers.len()).min_by_key(|n| self.timers[*n]) {
@@ -95,50 +95,53 @@
         self.now = end;
     }
 
-    pub fn call_with(&mut self, id: u64, class: usize, number: u64, first: i64) {
+    pub fn call_with(&mut self, id: u64, class: usize, number: u64, first_choice: i64) {
         let deadline = self.now + 3 * SEC;
         self.event(Event::Call(NewCall {
             call: CallId(id),
             class,
             number: Number(number),
             deadline,
-            first_choice: PoolId(first),
+            first_choice: PoolId(first_choice),
             is_redial: false,
             in_transit: false,
             max_attempts: u32::MAX,
         }));
     }
 
-    pub fn call(&mut self, id: u64, first: i64) {
-        self.call_with(id, 0, 1_000_000 + id, first);
+    pub fn call(&mut self, id: u64, first_choice: i64) {
+        self.call_with(id, 0, 1_000_000 + id, first_choice);
     }
 
-    /// Servers of all attempts for a call so far.
+    /// Returns the servers of all attempts made so far for a call.
     pub fn attempts(&self, id: u64) -> Vec<u32> {
         self.log
             .iter()
-            .filter_map(|(_, a)| match a {
+            .filter_map(|(_, action)| match action {
                 Action::Attempt { call, server, .. } if call.0 == id => Some(server.0),
                 _ => None,
             })
             .collect()
     }
 
-    /// Final answers for a call so far.
+    /// Returns the number of final answers given so far to a call.
     pub fn final_answers(&self, id: u64) -> usize {
-        let is =
+        let is_final =
             |a: &Action| matches!(a, Action::Reject { call, .. } | Action::Fail { call } if call.0 == id);
-        self.log.iter().filter(|(_, a)| is(a)).count()
+        self.log.iter().filter(|(_, action)| is_final(action)).count()
     }
 
     pub fn cancellations(&self, id: u64) -> usize {
-        self.log.iter().filter(|(_, a)| matches!(a, Action::Cancel { call, .. } if call.0 == id)).count()
+        self.log
+            .iter()
+            .filter(|(_, action)| matches!(action, Action::Cancel { call, .. } if call.0 == id))
+            .count()
     }
 
-    pub fn establish(&mut self, id: u64, took: Micros) {
+    pub fn establish(&mut self, id: u64, elapsed: Micros) {
         let sent = self.attempts(id);
         let (attempt, server) = (sent.len() as u32 - 1, ServerId(sent[sent.len() - 1]));
-        self.event(Event::Established { call: CallId(id), attempt, server, elapsed: took });
+        self.event(Event::Established { call: CallId(id), attempt, server, elapsed });
     }
 
     pub fn end_attempt(&mut self, id: u64, outcome: Outcome, cause: Cause, load: LoadReport) {
@@ -158,20 +161,20 @@
         }));
     }
 
-    /// Teaches the gatekeeper a server's smallest set-up delay with one quick call.
-    pub fn teach_setup_delay(&mut self, id: u64, server: u32, took: Micros) {
+    /// Establishes one call with a set-up delay of `elapsed`, which sets the server's smallest set-up delay.
+    pub fn set_min_setup_delay(&mut self, id: u64, server: u32, elapsed: Micros) {
         self.call(id, server.into());
-        self.advance(took);
-        self.establish(id, took);
+        self.advance(elapsed);
+        self.establish(id, elapsed);
     }
 
     pub fn report_load(&mut self, server: u32, load: LoadReport) {
         self.event(Event::Load { server: ServerId(server), answered: true, load });
     }
 
-    /// Tells of a wait of so many milliseconds at a server.
-    pub fn report_wait(&mut self, server: u32, wait_ms: f64) {
-        self.report_load(server, LoadReport { queueing_delay_ms: Some(wait_ms), ..LoadReport::default() });
+    /// Sends a load report that contains only the queueing delay of a server.
+    pub fn report_delay(&mut self, server: u32, delay_ms: f64) {
+        self.report_load(server, LoadReport { queueing_delay_ms: Some(delay_ms), ..LoadReport::default() });
     }
 
     pub fn gauge(&self, server: u32) -> Gauge {
--- a/tests/policy_replay.rs
+++ b/tests/policy_replay.rs
@@ -1,7 +1,7 @@
-//! The decision module replays recorded scenarios byte for byte.
+//! Replays recorded scenarios against the decision module and compares the replies byte for byte.
 //!
-//! `tests/fixtures/policy_replay` holds the batches that `tools/record-policy-replay` sent to the simulator adapter and
-//! the replies of the version that recorded them. A change of structure or names must not change one byte.
+//! `tests/fixtures/policy_replay` contains the batches that `tools/record-policy-replay` sent to the simulator adapter
+//! and the replies of the version that recorded them. A refactoring must not change any byte of the replies.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
--- a/tests/policy_rules.rs
+++ b/tests/policy_rules.rs
@@ -1,4 +1,4 @@
-//! The five rules, each by its own guard.
+//! Tests of the five rules that every decision must satisfy.
 
 mod policy_harness;
 use cobaltspool::*;
@@ -19,19 +19,19 @@
 fn unanswered_attempt_gets_one_final_answer_by_the_deadline() {
     let mut harness = PolicyHarness::new(1);
     harness.call(1, 0);
-    let due = harness.now + 3 * SEC;
+    let deadline = harness.now + 3 * SEC;
     harness.advance(10 * SEC);
     assert_eq!((harness.attempts(1).len(), harness.final_answers(1)), (1, 1));
-    let at = harness.log.iter().find(|(_, a)| matches!(a, Action::Fail { .. })).expect("failed").0;
-    assert!(at <= due + 20 * MS);
+    let at = harness.log.iter().find(|(_, action)| matches!(action, Action::Fail { .. })).expect("failed").0;
+    assert!(at <= deadline + 20 * MS);
     let before = harness.log.len();
     harness.end_attempt(1, Outcome::TimedOut, Cause::Unspecified, NO_LOAD);
     harness.advance(5 * SEC);
-    assert_eq!(harness.log.len(), before, "nothing more for a call that is over");
+    assert_eq!(harness.log.len(), before, "no further actions for a call that is over");
 }
 
 #[test]
-fn gives_no_answer_after_the_caller_has_gone_or_the_call_ended() {
+fn gives_no_final_answer_after_the_caller_has_released_the_call_or_it_ended() {
     let mut harness = PolicyHarness::new(1);
     harness.call(1, 0);
     harness.event(Event::CallerGone { call: CallId(1) });
@@ -65,12 +65,16 @@
     let mut harness = PolicyHarness::with(set, 2);
     harness.call(2, 0);
     harness.advance(4 * SEC);
-    assert_eq!((harness.attempts(2).len(), harness.final_answers(2)), (0, 1), "no pool of its class");
+    assert_eq!(
+        (harness.attempts(2).len(), harness.final_answers(2)),
+        (0, 1),
+        "no server in a pool of its class"
+    );
     harness.call_with(3, 55, 9, 0);
     harness.advance(4 * SEC);
     assert!(
         harness.attempts(3).len() + harness.final_answers(3) > 0,
-        "an unknown class is odd input, not a panic"
+        "a call of an unknown class must be handled without a panic"
     );
 }
 
@@ -79,7 +83,7 @@
     let mut harness = PolicyHarness::new(6);
     harness.call(1, 0);
     for n in 1..=5 {
-        assert_eq!(harness.attempts(1).len(), n, "the next only after the last has ended");
+        assert_eq!(harness.attempts(1).len(), n, "the next attempt only after the last one has ended");
         harness.advance(20 * MS);
         assert_eq!(harness.attempts(1).len(), n);
         harness.end_attempt(1, Outcome::Rejected, Cause::NoFreeLine, NO_LOAD);
@@ -109,23 +113,23 @@
     let mut harness = PolicyHarness::new(2);
     harness.list(EndpointListScope::Complete, vec![entry_up(1)]);
     harness.call(1, 0);
-    assert_eq!(harness.attempts(1), [1], "missing from a whole list is gone");
+    assert_eq!(harness.attempts(1), [1], "a server missing from a complete list is removed");
 }
 
 #[test]
-fn retry_awaits_the_release() {
+fn retry_waits_for_the_release_wait() {
     for outcome in [Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled] {
         let mut harness = PolicyHarness::new(2);
         harness.call(1, 0);
         harness.advance(50 * MS);
         harness.end_attempt(1, outcome, Cause::Unspecified, NO_LOAD);
-        let drained_at = harness.now;
+        let ended_at = harness.now;
         harness.advance(290 * MS);
         assert_eq!(harness.attempts(1).len(), 1, "{outcome:?}: still within the release wait");
         harness.advance(50 * MS);
         assert_eq!(harness.attempts(1).len(), 2, "{outcome:?}: sent again after it");
-        let at = harness.log.iter().rfind(|(_, a)| matches!(a, Action::Attempt { .. })).unwrap().0;
-        assert!(at >= drained_at + 300 * MS);
+        let at = harness.log.iter().rfind(|(_, action)| matches!(action, Action::Attempt { .. })).unwrap().0;
+        assert!(at >= ended_at + 300 * MS);
     }
 }
 
@@ -139,13 +143,17 @@
     harness.end_attempt(1, Outcome::TimedOut, Cause::Unspecified, NO_LOAD);
     harness.advance(4 * SEC);
     assert_eq!(harness.attempts(1).len(), 1);
-    assert!(harness.log.iter().any(|(_, a)| *a == Action::Fail { call: CallId(1) }), "failed, not refused");
+    assert!(
+        harness.log.iter().any(|(_, action)| *action == Action::Fail { call: CallId(1) }),
+        "failed, not rejected"
+    );
 }
 
-/// Four gatekeepers send 40 calls a second in all to a pair of servers, one just started: capacity is at least 20 a
-/// second each, so the one warming up may get 2 x 0.3 x 20 x 1.5 s = 18 in its first 1.5 s, 4.5 from each gatekeeper.
+/// Four gatekeepers together send 40 calls per second to two servers, one of which has just started. Each server has a
+/// capacity of at least 20 per second, so the one that is warming up may get 2 x 0.3 x 20 x 1.5 s = 18 attempts in its
+/// first 1.5 s, which is 4.5 from each gatekeeper.
 #[test]
-fn slow_start_budget_holds_over_every_window() {
+fn slow_start_budget_is_kept_in_every_window() {
     let mut harness = PolicyHarness::new(2);
     let mut id = 0;
     let mut sends: Vec<Micros> = Vec::new();
@@ -179,10 +187,10 @@
 }
 
 #[test]
-fn server_that_restarts_under_its_id_is_warming_up_again() {
+fn server_that_restarts_under_the_same_id_warms_up_again() {
     let mut harness = PolicyHarness::new(1);
     for id in 1..20 {
-        harness.teach_setup_delay(id, 0, 20 * MS);
+        harness.set_min_setup_delay(id, 0, 20 * MS);
         harness.advance(200 * MS);
     }
     let started_at = harness.now;
@@ -195,7 +203,7 @@
 }
 
 #[test]
-fn restored_list_serves_at_once() {
+fn restored_list_is_used_at_once() {
     let mut harness = PolicyHarness::new(2);
     harness.call(1, 1);
     assert_eq!(harness.attempts(1), [1]);
@@ -208,7 +216,7 @@
     harness.call(1, 0);
     harness.now += 3_600 * SEC;
     harness.event(Event::Timer { key: 0 });
-    assert_eq!(harness.final_answers(1), 1, "answered as soon as the clock is seen to be past due");
+    assert_eq!(harness.final_answers(1), 1, "answered at the first event after the deadline");
     harness.end_attempt(1, Outcome::TimedOut, Cause::Unspecified, NO_LOAD);
     harness.now = 5;
     harness.event(Event::Timer { key: 0 });
@@ -220,9 +228,10 @@
     assert_eq!(harness.attempts(2), [0]);
 }
 
-/// Tana-freight-later rules-2: 81 gatekeepers each saved up a token for a starting server and spent all at once.
+/// Scenario "Tana-freight-later rules-2": 81 gatekeepers each saved a token for a server that was warming up and used
+/// them all at the same time.
 #[test]
-fn many_gatekeepers_do_not_save_up_a_slow_start_budget() {
+fn gatekeepers_do_not_accumulate_slow_start_tokens() {
     let mut gatekeepers: Vec<PolicyHarness> = (0..60)
         .map(|seed| PolicyHarness { controller: Controller::new(settings(), seed), ..PolicyHarness::new(0) })
         .collect();
@@ -244,13 +253,14 @@
         harness.call(100, 0);
         sent += usize::from(harness.attempts(100) == [0]);
     }
-    assert!((1..=20).contains(&sent), "{sent} of 60 gatekeepers had a token in hand at one moment");
+    assert!((1..=20).contains(&sent), "{sent} of 60 gatekeepers had a token at the same time");
 }
 
-/// A gatekeeper that sends 40 calls a second to servers of 10 and of 90 lines gives a small one that is warming up its size's share.
+/// A gatekeeper that sends 40 calls per second to servers of 10 and 90 lines gives the small one, while it is warming
+/// up, a budget in proportion to its size.
 #[test]
 fn small_server_gets_a_small_slow_start_budget() {
-    let sent_to_cold = |lines: f64| {
+    let sent_while_warming_up = |lines: f64| {
         let mut harness = PolicyHarness::new(2);
         for (server, lines) in [(0, lines), (1, 90.0)] {
             let load =
@@ -272,6 +282,6 @@
         }
         sent
     };
-    let (small, even) = (sent_to_cold(10.0), sent_to_cold(90.0));
-    assert!(small > 0 && 3 * small < even, "{small} with a tenth of the lines, {even} with half");
+    let (small, even) = (sent_while_warming_up(10.0), sent_while_warming_up(90.0));
+    assert!(small > 0 && 3 * small < even, "{small} sent with a tenth of the lines, {even} with half");
 }
