--- a/crates/fleet/src/codec.rs
+++ b/crates/fleet/src/codec.rs
@@ -1,9 +1,10 @@
-//! The codec: frames of datagrams and streams to bytes and back. Version, seal, body; the body by `postcard`. The order of fields and
-//! variants is the wire format; it never changes.
+//! The codec: encodes and decodes the frames of datagrams and streams. A frame is a magic number, the protocol version,
+//! a MAC and the body, which is serialized by `postcard`. The order of fields and variants is the wire format and must
+//! not change.
 //!
-//! A frame that is cut, forged, oversized or of another version costs no more than its reading. A member's
-//! information goes as numbered fields: a number that this version does not know is kept as it came and passed on, within a
-//! bound, so that old and new versions read each other.
+//! A truncated, forged or oversized frame, or one of another version, is dropped when it is decoded and has no other
+//! effect. A member's information is encoded as numbered fields. A field whose number this version does not recognize
+//! is kept unchanged and forwarded, up to a size limit, so that old and new versions can run together.
 
 use std::fmt;
 use std::net::{IpAddr, SocketAddr};
@@ -17,102 +18,102 @@
     StateVersion,
 };
 
-/// The longest datagram.
+/// Maximum size of a datagram.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
-/// What records may take of a datagram; the rest is for the frame itself.
+/// Maximum size of the records in a datagram. The rest is reserved for the frame itself.
 pub const MAX_PIGGYBACK_BYTES: usize = 900;
-/// The longest frame on a stream: the whole table.
+/// Maximum size of a frame on a stream. The largest one carries the full membership table.
 pub const MAX_STREAM_BYTES: usize = 512 * 1024;
-/// Most records of one frame.
+/// Maximum number of records in a frame.
 pub const MAX_RECORDS: usize = 1_100;
 const MAGIC: [u8; 2] = *b"cf";
 const ENVELOPE_MAGIC: [u8; 2] = *b"cp";
 const VERSION: u8 = 1;
-const HEAD: usize = 3 + blake3::OUT_LEN;
+const HEADER_BYTES: usize = 3 + blake3::OUT_LEN;
 const MAX_FIELDS: usize = 32;
 
-/// What a frame is for.
+/// Purpose of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FrameKind {
-    /// Are you there? The same to whom is not known yet.
+    /// Asks the receiver for an ack. Also sent to addresses whose member is not known yet.
     Ping,
-    /// Yes; also passed on by a helper.
+    /// Answers a ping, directly or forwarded by a helper.
     Ack,
-    /// Ping the target for the sender (an indirect ping).
+    /// Asks the receiver, a helper, to ping the target on the sender's behalf (an indirect ping).
     PingRequest,
-    /// The target did not answer the helper, which is there itself.
+    /// Sent by a helper that did not receive an answer from the target.
     Nack,
-    /// The whole table, over a stream; answered with the other's.
+    /// The full membership table, sent over a stream and answered with the receiver's table.
     FullState,
-    /// Gossip that nobody has to answer.
+    /// Gossip that needs no answer.
     Gossip,
-    /// From a process in standby: who has my id?
+    /// Sent by a process in standby: asks which process uses its id.
     IdQuery,
 }
 
 /// One frame.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Frame {
-    /// What it is for.
+    /// Purpose of the frame.
     pub kind: FrameKind,
-    /// The sender, in its own words.
+    /// The sender's record about itself.
     pub from: MemberRecord,
-    /// The nonce of the start that it is meant for; 0: not known.
+    /// Nonce of the process start that the frame is addressed to; 0 if the sender does not know it.
     pub receiver_nonce: u64,
-    /// Counts the sender's frames.
+    /// The sender's frame counter, for replay detection.
     pub counter: u64,
-    /// Which question this asks or answers.
+    /// Id of the probe or query that this frame sends or answers.
     pub probe_id: u64,
-    /// Whom to ask.
+    /// The member to ping, in a ping request. A ping that a process in standby forwards carries the newer start here.
     pub target: Option<(MemberId, SocketAddr)>,
-    /// How the sender sees the one that it writes to.
+    /// The receiver's state version as the sender knows it.
     pub receiver_version: Option<StateVersion>,
-    /// Digest of the sender's live members.
+    /// Digest of the members that the sender considers live.
     pub digest: u64,
-    /// What it has heard of others.
+    /// Records about other members.
     pub records: Vec<MemberRecord>,
 }
 
 /// Why a frame was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// Too short, or its body is unreadable.
+    /// Too short, or the body cannot be decoded.
     #[error("the frame is truncated or unreadable")]
     Truncated,
-    /// Longer than the bound.
-    #[error("the frame is too long")]
+    /// Longer than the size limit.
+    #[error("the frame exceeds the size limit")]
     Oversized,
-    /// Its seal is not of this fleet's key.
-    #[error("the frame is sealed with another key")]
+    /// The MAC does not match this fleet's key.
+    #[error("the frame's MAC does not match the fleet's key")]
     Forged,
-    /// Not of this protocol's version.
-    #[error("the frame is of another version")]
+    /// Another protocol version.
+    #[error("the frame has another protocol version")]
     Version,
 }
 
-/// A fleet's key.
+/// The key that authenticates a fleet's frames.
 #[derive(Clone)]
 pub struct Key(Option<[u8; blake3::KEY_LEN]>);
 
 impl fmt::Debug for Key {
-    /// A key is never written anywhere.
+    /// Never prints the key itself.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(if self.0.is_some() { "a key" } else { "no key" })
     }
 }
 
 impl Key {
-    /// No key: the seal is a checksum.
+    /// No key: an unkeyed hash replaces the MAC, which detects corruption only.
     pub fn none() -> Key {
         Key(None)
     }
 
-    /// The key that a file's bytes stand for.
+    /// Derives the key from the bytes of a key file.
     pub fn from_bytes(bytes: &[u8]) -> Key {
         Key(Some(blake3::derive_key("cobaltspool fleet frames 1", bytes)))
     }
 
-    fn seal(&self, body: &[u8]) -> blake3::Hash {
+    fn mac(&self, body: &[u8]) -> blake3::Hash {
         match &self.0 {
             Some(key) => blake3::keyed_hash(key, body),
             None => blake3::hash(body),
@@ -120,74 +121,74 @@
     }
 }
 
-/// A frame as it goes out.
+/// Encodes a frame.
 pub fn encode(frame: &Frame, key: &Key) -> Vec<u8> {
-    // Nothing of a frame can fail to be written; an empty one would be dropped by whoever reads it.
-    sealed(MAGIC, &postcard::to_stdvec(&WireFrame::from_frame(frame)).unwrap_or_default(), key)
+    // Serializing a frame cannot fail; if it did, the receiver would drop the empty body.
+    with_mac(MAGIC, &postcard::to_stdvec(&WireFrame::from_frame(frame)).unwrap_or_default(), key)
 }
 
-/// Reads a frame of at most so many bytes.
+/// Decodes a frame of at most `max` bytes.
 pub fn decode(bytes: &[u8], max: usize, key: &Key) -> Result<Frame, DecodeError> {
     let body: WireFrame =
-        postcard::from_bytes(open_sealed(MAGIC, bytes, max, key)?).map_err(|_| DecodeError::Truncated)?;
+        postcard::from_bytes(verify_mac(MAGIC, bytes, max, key)?).map_err(|_| DecodeError::Truncated)?;
     body.into_frame().ok_or(DecodeError::Truncated)
 }
 
-/// A envelope as it goes out.
+/// Encodes an envelope.
 pub fn encode_envelope(envelope: &PeerMessage, key: &Key) -> Vec<u8> {
-    sealed(ENVELOPE_MAGIC, &postcard::to_stdvec(envelope).unwrap_or_default(), key)
+    with_mac(ENVELOPE_MAGIC, &postcard::to_stdvec(envelope).unwrap_or_default(), key)
 }
 
-/// Reads a envelope.
+/// Decodes an envelope.
 pub fn decode_envelope(bytes: &[u8], key: &Key) -> Result<PeerMessage, DecodeError> {
-    postcard::from_bytes(open_sealed(ENVELOPE_MAGIC, bytes, MAX_ENVELOPE_BYTES, key)?)
+    postcard::from_bytes(verify_mac(ENVELOPE_MAGIC, bytes, MAX_ENVELOPE_BYTES, key)?)
         .map_err(|_| DecodeError::Truncated)
 }
 
-/// Whether these bytes begin as a envelope does, and not as a frame of the view.
+/// Whether these bytes start like an envelope rather than a membership frame.
 pub fn is_envelope(bytes: &[u8]) -> bool {
     bytes.starts_with(&ENVELOPE_MAGIC)
 }
 
-fn sealed(magic: [u8; 2], body: &[u8], key: &Key) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(HEAD + body.len());
+fn with_mac(magic: [u8; 2], body: &[u8], key: &Key) -> Vec<u8> {
+    let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
     bytes.extend_from_slice(&magic);
     bytes.push(VERSION);
-    bytes.extend_from_slice(key.seal(body).as_bytes());
+    bytes.extend_from_slice(key.mac(body).as_bytes());
     bytes.extend_from_slice(body);
     bytes
 }
 
-fn open_sealed<'a>(magic: [u8; 2], bytes: &'a [u8], max: usize, key: &Key) -> Result<&'a [u8], DecodeError> {
+fn verify_mac<'a>(magic: [u8; 2], bytes: &'a [u8], max: usize, key: &Key) -> Result<&'a [u8], DecodeError> {
     if bytes.len() > max {
         return Err(DecodeError::Oversized);
     }
-    if bytes.len() < HEAD {
+    if bytes.len() < HEADER_BYTES {
         return Err(DecodeError::Truncated);
     }
     if bytes[..2] != magic || bytes[2] != VERSION {
         return Err(DecodeError::Version);
     }
-    let (seal, body) = bytes[3..].split_at(blake3::OUT_LEN);
-    // Compared in constant time.
-    if !blake3::Hash::from_slice(seal).is_ok_and(|seal| seal == key.seal(body)) {
+    let (mac, body) = bytes[3..].split_at(blake3::OUT_LEN);
+    // `blake3::Hash` compares in constant time.
+    if !blake3::Hash::from_slice(mac).is_ok_and(|mac| mac == key.mac(body)) {
         return Err(DecodeError::Forged);
     }
     Ok(body)
 }
 
-/// Digest of a file that is to be the same for all members.
+/// Digest of a file that should be identical on all members.
 pub fn file_digest(bytes: &[u8]) -> u64 {
     let hash = blake3::hash(bytes);
     hash.as_bytes().iter().take(8).fold(0, |sum, byte| sum << 8 | u64::from(*byte))
 }
 
-/// About how many bytes a record takes in a frame.
+/// Estimated size of a record in a frame, in bytes.
 pub fn estimated_record_size(record: &MemberRecord) -> usize {
     let info = &record.info;
     let unknown: usize = info.unknown_fields.iter().map(|(_, bytes)| bytes.len() + 2).sum();
-    let by = record.reported_by.as_ref().map_or(0, |by| by.as_str().len());
-    92 + record.id.as_str().len() + by + info.zone.len() + info.version.len() + unknown
+    let reporter = record.reported_by.as_ref().map_or(0, |by| by.as_str().len());
+    92 + record.id.as_str().len() + reporter + info.zone.len() + info.version.len() + unknown
 }
 
 #[derive(Serialize, Deserialize)]
@@ -245,10 +246,10 @@
     }
 }
 
-// The fields' numbers; none is ever given another meaning.
+// Field numbers. A number must never be reused with another meaning.
 const ZONE: u8 = 1;
 const ADDRESS: u8 = 2;
-const PROGRAM: u8 = 3;
+const PROGRAM_VERSION: u8 = 3;
 const AGE_MS: u8 = 4;
 const FLAGS: u8 = 5;
 const CALLS: u8 = 6;
@@ -261,29 +262,30 @@
 impl WireRecord {
     fn from_record(record: &MemberRecord) -> WireRecord {
         let info = &record.info;
-        let number = |n: u64| {
+        let encode_number = |n: u64| {
             let used = 8 - (n.leading_zeros() / 8) as usize;
             n.to_le_bytes()[..used].to_vec()
         };
-        let flag = |is: bool, bit: u8| if is { bit } else { 0 };
+        let flag = |is_set: bool, bit: u8| if is_set { bit } else { 0 };
         let flags = flag(info.ready, READY) | flag(info.draining, DRAINING) | flag(info.leaving, LEAVING);
         let mut address = match info.address.ip() {
             IpAddr::V4(ip) => ip.octets().to_vec(),
             IpAddr::V6(ip) => ip.octets().to_vec(),
         };
         address.extend_from_slice(&info.address.port().to_le_bytes());
-        let mut fields = vec![(ADDRESS, address), (AGE_MS, number(info.uptime / 1000)), (FLAGS, vec![flags])];
+        let mut fields =
+            vec![(ADDRESS, address), (AGE_MS, encode_number(info.uptime / 1000)), (FLAGS, vec![flags])];
         let mut add = |tag, bytes: Vec<u8>| {
             if !bytes.is_empty() {
                 fields.push((tag, bytes));
             }
         };
         add(ZONE, info.zone.as_bytes().to_vec());
-        add(PROGRAM, info.version.as_bytes().to_vec());
-        add(CALLS, number(u64::from(info.calls)));
-        add(OPS, number(info.ops_digest));
+        add(PROGRAM_VERSION, info.version.as_bytes().to_vec());
+        add(CALLS, encode_number(u64::from(info.calls)));
+        add(OPS, encode_number(info.ops_digest));
         if let Some(age) = info.list_age {
-            fields.push((LIST_AGE_MS, number(age)));
+            fields.push((LIST_AGE_MS, encode_number(age)));
         }
         fields.extend(info.unknown_fields.iter().cloned());
         WireRecord {
@@ -295,18 +297,18 @@
         }
     }
 
-    /// `None`: a field is unreadable, or the address is missing.
+    /// Returns `None` if a field cannot be decoded or the address is missing.
     fn into_record(self) -> Option<MemberRecord> {
         if self.fields.len() > MAX_FIELDS {
             return None;
         }
         let mut info = MemberInfo::at(SocketAddr::from(([0, 0, 0, 0], 0)));
-        let (mut address, mut kept) = (None, 0);
+        let (mut address, mut kept_bytes) = (None, 0);
         for (tag, bytes) in self.fields {
             match tag {
                 ADDRESS => address = Some(read_address(&bytes)?),
                 ZONE => info.zone = read_text(bytes)?,
-                PROGRAM => info.version = read_text(bytes)?,
+                PROGRAM_VERSION => info.version = read_text(bytes)?,
                 AGE_MS => info.uptime = read_number(&bytes)?.saturating_mul(1000),
                 FLAGS => {
                     let flags = *bytes.first()?;
@@ -317,8 +319,8 @@
                 CALLS => info.calls = u32::try_from(read_number(&bytes)?).ok()?,
                 LIST_AGE_MS => info.list_age = Some(read_number(&bytes)?),
                 OPS => info.ops_digest = read_number(&bytes)?,
-                _ if kept + bytes.len() <= MAX_UNKNOWN_BYTES => {
-                    kept += bytes.len();
+                _ if kept_bytes + bytes.len() <= MAX_UNKNOWN_BYTES => {
+                    kept_bytes += bytes.len();
                     info.unknown_fields.push((tag, bytes));
                 }
                 _ => {}
@@ -336,14 +338,14 @@
     }
 }
 
-/// A number of up to 8 bytes, the lowest first.
+/// Reads a little-endian number of up to 8 bytes.
 fn read_number(bytes: &[u8]) -> Option<u64> {
-    let mut whole = [0; 8];
-    whole.get_mut(..bytes.len())?.copy_from_slice(bytes);
-    Some(u64::from_le_bytes(whole))
+    let mut padded = [0; 8];
+    padded.get_mut(..bytes.len())?.copy_from_slice(bytes);
+    Some(u64::from_le_bytes(padded))
 }
 
-/// A short text without control characters.
+/// Reads a text of at most [`MAX_NAME_BYTES`] bytes without control characters.
 fn read_text(bytes: Vec<u8>) -> Option<Arc<str>> {
     let text = String::from_utf8(bytes).ok().filter(|text| text.len() <= MAX_NAME_BYTES)?;
     (!text.chars().any(char::is_control)).then(|| text.into())
@@ -359,7 +361,7 @@
     Some(SocketAddr::new(ip, u16::from_le_bytes(*port)))
 }
 
-/// A record as a test writes it.
+/// A record with fixed information, for tests.
 #[doc(hidden)]
 pub fn example_record(id: &str, generation: u64, seq: u32, state: MemberState) -> MemberRecord {
     let address = SocketAddr::from(([127, 0, 0, 1], 7401));
@@ -367,7 +369,7 @@
         MemberInfo { zone: "zagreb".into(), version: "0.2.0".into(), ready: true, ..MemberInfo::at(address) };
     let state_version = StateVersion { incarnation: Incarnation { generation, nonce: 77 }, seq, state };
     MemberRecord {
-        id: MemberId::new(id).expect("an id"),
+        id: MemberId::new(id).expect("a valid member id"),
         state_version,
         reported_by: None,
         state_age: 0,
--- a/crates/fleet/src/envelope.rs
+++ b/crates/fleet/src/envelope.rs
@@ -1,5 +1,5 @@
-//! What members send to voters and voters to each other, over streams: one envelope a frame, sealed like the membership protocol's
-//! frames. The order of fields and variants is the wire format; it never changes.
+//! Messages from members to voters and between voters, sent over streams: one envelope per frame, authenticated like
+//! the membership protocol's frames. The order of fields and variants is the wire format and must not change.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,34 +7,34 @@
 use crate::member::MemberId;
 use crate::quorum::Message;
 
-/// Maximum size of an encoded envelope: a snapshot of a full state machine.
+/// Maximum size of an encoded envelope. The largest one carries a snapshot of a full state machine.
 pub const MAX_ENVELOPE_BYTES: usize = 2 * 1024 * 1024;
 
 /// A message from one member to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerMessage {
-    /// The sender.
+    /// The sending member.
     pub from: MemberId,
-    /// The receiver.
+    /// The receiving member.
     pub to: MemberId,
-    /// What it holds.
+    /// The message itself.
     pub payload: Payload,
 }
 
-/// What a peer message holds.
+/// Content of a peer message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// From voter to voter.
+    /// A consensus message between voters.
     Consensus(Box<Message>),
-    /// From a member to the leader.
+    /// A member's lease request to the leader.
     LeaseRequest(LeaseRequest),
-    /// The leader's answer.
+    /// The leader's answer to a lease request.
     LeaseResponse(LeaseResponse),
-    /// The voter that was asked does not lead.
+    /// The voter that received a lease request is not the leader.
     NotLeader {
-        /// The request's number.
+        /// Number of the request that this answers.
         number: u64,
-        /// Who does, where that is known.
+        /// The current leader, if the voter knows it.
         leader: Option<MemberId>,
     },
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,13 +1,15 @@
-//! How gatekeepers act together. Each layer is a state machine without I/O: state in, events and time in, actions out. No sockets, no
-//! clock, no threads; the program's adapters move the bytes (`src/fleet/` there).
+//! Coordination between gatekeepers. Each layer is a state machine without I/O: it takes events and the current time
+//! and returns actions. It uses no sockets, clocks or threads; the adapters in the program's `src/fleet/` send and
+//! receive the bytes.
 //!
-//! - [`member`]: a member's id, incarnations and information, and which of two records about it is the newer;
-//! - [`codec`]: frames to bytes and back, with their bounds and their seal;
-//! - [`membership`]: who is there, who says so, how sure that is; settles again after joins, crashes and partitions;
-//! - [`quorum`]: a small replicated log among 3, 5 or 7 voters; [`wal`]: what a voter keeps, as bytes;
-//! - [`lease`]: resources with one owner each, by leases and fencing tokens, on the log; [`envelope`]: the messages of both;
-//! - [`live_instances`]: by how many gatekeepers a slow-start budget is divided, so that a partition never lets two halves
-//!   exceed it.
+//! - [`member`]: a member's id, incarnations and information, and the order of records about one member;
+//! - [`codec`]: encodes and decodes frames, with size limits and a MAC;
+//! - [`membership`]: gossip membership and failure detection, which converge after joins, crashes and partitions;
+//! - [`quorum`]: a small replicated log among 3, 5 or 7 voters; [`wal`]: the byte format of a voter's persistent state;
+//! - [`lease`]: resources with one owner each, by leases and fencing tokens, on the log; [`envelope`]: the messages of
+//!   `quorum` and `lease`;
+//! - [`live_instances`]: the number of gatekeepers that a slow-start budget is divided by, so that the two sides of a
+//!   partition never exceed it together.
 
 pub mod codec;
 pub mod envelope;
@@ -18,5 +20,5 @@
 pub mod quorum;
 pub mod wal;
 
-/// Monotonic time in microseconds, from any start that a process keeps.
+/// Monotonic time in microseconds, from an origin that is fixed for the life of the process.
 pub type Micros = u64;
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -1,7 +1,7 @@
-//! A member: its id, its incarnations, its information about itself, and which of two records about it is the newer.
+//! A member: its id, its incarnations, its information about itself, and the order of records about it.
 //!
-//! Wall time decides nothing here. A start draws a nonce, and takes a generation above every other that it hears of under
-//! its id; that is what makes a newer start win without a disk.
+//! Wall-clock time is not used. Each process start draws a nonce and takes a generation above every other generation
+//! reported under its id, so that a newer start wins without persistent storage.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -11,29 +11,31 @@
 
 use crate::Micros;
 
-/// The longest id, zone and version, in bytes.
+/// Maximum length of an id, a zone and a version, in bytes.
 pub const MAX_NAME_BYTES: usize = 48;
-/// Fields of a newer version that are passed on unread: so many bytes of one member; further ones are left out.
+/// Maximum total size per member of fields that this version does not recognize. They are forwarded unchanged; fields
+/// beyond the limit are dropped.
 pub const MAX_UNKNOWN_BYTES: usize = 64;
 
-/// A text that is no member's id.
+/// The text is not a valid member id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("no member's id: give 1 to {MAX_NAME_BYTES} letters, digits, dots, dashes or underscores")]
+#[error("invalid member id: expected 1 to {MAX_NAME_BYTES} letters, digits, dots, dashes or underscores")]
 pub struct InvalidMemberId;
 
-/// A member's id: the same after a restart.
+/// A member's id. It stays the same across restarts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "Arc<str>", into = "Arc<str>")]
 pub struct MemberId(Arc<str>);
 
 impl MemberId {
-    /// An id: 1 to 48 letters, digits, dots, dashes or underscores.
+    /// Creates an id; `None` unless the text is 1 to 48 letters, digits, dots, dashes or underscores.
     pub fn new(text: &str) -> Option<MemberId> {
-        let fits = |b: u8| b.is_ascii_alphanumeric() || b"._-".contains(&b);
-        ((1..=MAX_NAME_BYTES).contains(&text.len()) && text.bytes().all(fits)).then(|| MemberId(text.into()))
+        let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b"._-".contains(&b);
+        ((1..=MAX_NAME_BYTES).contains(&text.len()) && text.bytes().all(is_allowed))
+            .then(|| MemberId(text.into()))
     }
 
-    /// As text.
+    /// Returns the id as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -59,35 +61,35 @@
     }
 }
 
-/// One start of a process under an id. The greater one is the newer.
+/// Identifies one start of a process under an id. The greater value is the newer start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation {
-    /// Above that of every other start known when it was taken: the member's incarnation.
+    /// Greater than that of every other start known when it was chosen.
     pub generation: u64,
-    /// Drawn at the start; tells two starts of one generation apart.
+    /// Random number drawn at the start. It distinguishes two starts of the same generation.
     pub nonce: u64,
 }
 
 /// A member's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It is there.
+    /// Responding.
     Alive,
-    /// It has not answered somebody, and may still refute that.
+    /// Did not answer a probe, and may still refute the suspicion.
     Suspect,
-    /// It has not refuted it in time.
+    /// Did not refute the suspicion in time.
     Down,
-    /// It said that it goes.
+    /// Announced that it leaves.
     Left,
 }
 
 impl MemberState {
-    /// Counted as there.
+    /// Whether the member counts as live.
     pub fn is_live(self) -> bool {
         matches!(self, MemberState::Alive | MemberState::Suspect)
     }
 
-    /// Its name in status and log.
+    /// Name of the state in status output and logs.
     pub fn name(self) -> &'static str {
         match self {
             MemberState::Alive => "alive",
@@ -98,46 +100,46 @@
     }
 }
 
-/// What orders the records about one member: incarnation, then its own count, then the graver state.
+/// Orders the records about one member: by incarnation, then by sequence number, then by the more severe state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StateVersion {
-    /// Of which start.
+    /// The process start that the record is about.
     pub incarnation: Incarnation,
-    /// Counted by the member itself: each refutation and each change of its information is one more.
+    /// Incremented only by the member itself, at each refutation and each change of its information.
     pub seq: u32,
-    /// Its state.
+    /// The member's state.
     pub state: MemberState,
 }
 
 /// A member's information about itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberInfo {
-    /// Its zone.
+    /// The zone that it runs in.
     pub zone: Arc<str>,
-    /// Where it is reached.
+    /// Address at which it accepts frames.
     pub address: SocketAddr,
-    /// Its program's version.
+    /// Version of its program.
     pub version: Arc<str>,
-    /// How long it had run when it sent this.
+    /// How long it had been running when it sent this.
     pub uptime: Micros,
-    /// It takes clients.
+    /// Whether it accepts clients.
     pub ready: bool,
-    /// Operators have taken it out of service.
+    /// Whether operators have taken it out of service.
     pub draining: bool,
-    /// It shuts down, and will say when it has left.
+    /// Whether it is shutting down. It announces `Left` when it is done.
     pub leaving: bool,
-    /// Pending and established calls, of late.
+    /// Recent number of pending and established calls.
     pub calls: u32,
-    /// The age of its list of servers, in milliseconds; `None`: it has none.
+    /// Age of its list of servers in milliseconds; `None` if it has no list.
     pub list_age: Option<u64>,
-    /// Digest of its operators' file; 0: it has none.
+    /// Digest of its operators' file; 0 if it has none.
     pub ops_digest: u64,
-    /// Fields of a newer version, as they came.
+    /// Fields that this version does not recognize, as received: number and bytes.
     pub unknown_fields: Vec<(u8, Vec<u8>)>,
 }
 
 impl MemberInfo {
-    /// MemberInfo of a process that has just started.
+    /// Information of a process that has just started.
     pub fn at(address: SocketAddr) -> MemberInfo {
         MemberInfo {
             zone: "".into(),
@@ -154,24 +156,24 @@
         }
     }
 
-    /// What others have to hear of soon: all but figures that change with every call.
+    /// The fields whose changes are gossiped at once: all except figures that change with every call.
     pub(crate) fn urgent_fields(&self) -> (bool, bool, bool, SocketAddr, u64, &str) {
         (self.ready, self.draining, self.leaving, self.address, self.ops_digest, &self.zone)
     }
 }
 
-/// What somebody says of a member.
+/// What one member reports about a member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberRecord {
-    /// Whom it is about.
+    /// The member that the record is about.
     pub id: MemberId,
-    /// How new it is, and the member's state.
+    /// Version of the record, with the member's state.
     pub state_version: StateVersion,
-    /// Who said suspect or down first; `None`: the member itself.
+    /// The member that reported suspect or down; `None` if the record comes from the member itself.
     pub reported_by: Option<MemberId>,
-    /// For how long it has been so, where it is down or left.
+    /// How long the member has been down or left; 0 for a live member.
     pub state_age: Micros,
-    /// The member's last information about itself.
+    /// The member's latest information about itself.
     pub info: MemberInfo,
 }
 
--- a/crates/fleet/src/member/tests.rs
+++ b/crates/fleet/src/member/tests.rs
@@ -1,9 +1,9 @@
-//! The order of state versions, and ids.
+//! Member ids and the order of state versions.
 
 use super::*;
 
 #[test]
-fn ids_are_bounded_and_of_plain_characters() {
+fn member_ids_are_limited_in_length_and_characters() {
     for bad in ["", "a b", "ž", "a/b", &"x".repeat(MAX_NAME_BYTES + 1)] {
         assert_eq!(MemberId::new(bad), None, "{bad}");
     }
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn newer_incarnation_wins_over_older_and_graver_state_over_lighter() {
+fn newer_incarnation_or_sequence_number_wins_then_the_more_severe_state() {
     let version = |generation, seq, state| StateVersion {
         incarnation: Incarnation { generation, nonce: 9 },
         seq,
--- a/crates/fleet/src/membership/duplicate_id.rs
+++ b/crates/fleet/src/membership/duplicate_id.rs
@@ -1,92 +1,98 @@
-//! Two starts under one id. A start that hears of another incarnation above its own goes above it once: that other may be the
-//! memory of a dead one. One that comes back above it lives. Then the two compare how long each has run, by their own
-//! monotonic clocks, and the older start yields: it falls silent in the fleet, serves calls as before, and comes back when
-//! nobody has the id any more.
+//! Decides between two processes that run under one id. When a process learns of another incarnation above its own, it
+//! first takes a higher generation, since the other may be the stale record of a dead process. If the other then
+//! reappears with a higher generation still, it is alive. The two then compare how long each has been running, by their
+//! own monotonic clocks, and the older start yields: it stops sending in the fleet, keeps serving its calls, and
+//! resumes when the id is no longer in use.
 
 use std::net::SocketAddr;
 
 use crate::Micros;
 
-/// Maximum number of other incarnations that are remembered.
+/// Maximum number of superseded incarnations kept.
 const MAX_SUPERSEDED: usize = 16;
-/// So often the other may come back before its age is compared: the record of a dead one may arrive in pieces.
-const RETURNS_BEFORE_COMPARISON: u32 = 2;
-/// From here on the nonce decides, where the ages are too close to tell.
-const RETURNS_BEFORE_TIE_BREAK: u32 = 5;
+/// Reappearances after which the uptimes are compared. Not the first, since the record of a dead process may arrive
+/// more than once.
+const REAPPEARANCES_BEFORE_COMPARISON: u32 = 2;
+/// Reappearances from which the nonce decides if the uptimes are too close to tell the starts apart.
+const REAPPEARANCES_BEFORE_TIE_BREAK: u32 = 5;
 
-/// Another start under our id that is known to live.
+/// Another process known to be running under this id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DuplicateProcess {
-    /// Its nonce.
+    /// Nonce of its start.
     pub nonce: u64,
-    /// Where it says that it is reached.
+    /// Address that it announces.
     pub address: SocketAddr,
-    /// How long it had run when that was last told.
+    /// How long it had been running according to its last record.
     pub uptime: Micros,
 }
 
-/// What to do about a incarnation above our own.
+/// How to react to another incarnation above this process's own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Verdict {
     /// Take a generation above it.
     Supersede,
-    /// It is alive: take a generation above it, and report it.
+    /// It is alive: take a generation above it and report it.
     SupersedeDuplicate,
-    /// It is alive and the newer start: fall silent.
+    /// It is alive and the newer start: go into standby.
     Yield,
 }
 
-/// A incarnation that we went above.
+/// An incarnation that this process took a higher generation than.
 #[derive(Clone, Copy, Debug)]
 struct Superseded {
     nonce: u64,
-    /// Our age then.
-    age: Micros,
-    returns: u32,
+    /// This process's uptime at that time.
+    uptime: Micros,
+    reappearances: u32,
 }
 
-/// The incarnations that we have superseded.
+/// The incarnations that this process has superseded.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SupersededIncarnations(Vec<Superseded>);
 
 impl SupersededIncarnations {
-    /// A incarnation above ours was told, with the age that it told; `stalled`: we missed time a moment ago, so that a successor may
-    /// have come meanwhile.
+    /// Judges an incarnation above this process's own. `other_uptime` is the uptime in its record, if a record is
+    /// present. `stalled` means that this process has just missed time, so a successor may have been started in the
+    /// meantime.
     pub fn judge(
         &mut self,
-        own: u64,
-        age: Micros,
-        other: u64,
-        its_age: Option<Micros>,
+        own_nonce: u64,
+        uptime: Micros,
+        other_nonce: u64,
+        other_uptime: Option<Micros>,
         stalled: bool,
     ) -> Verdict {
-        if stalled && its_age.is_some_and(|its| its < age) {
+        if stalled && other_uptime.is_some_and(|other| other < uptime) {
             return Verdict::Yield;
         }
-        let Some(superseded) = self.0.iter_mut().find(|p| p.nonce == other) else {
+        let Some(superseded) = self.0.iter_mut().find(|p| p.nonce == other_nonce) else {
             if self.0.len() >= MAX_SUPERSEDED {
                 self.0.remove(0);
             }
-            self.0.push(Superseded { nonce: other, age, returns: 0 });
+            self.0.push(Superseded { nonce: other_nonce, uptime, reappearances: 0 });
             return Verdict::Supersede;
         };
-        // Without its age nothing can be judged, nor counted.
-        let Some(its_age) = its_age else { return Verdict::Supersede };
-        superseded.returns += 1;
-        let before = std::mem::replace(&mut superseded.age, age);
-        if superseded.returns < RETURNS_BEFORE_COMPARISON {
+        // Without an uptime there is nothing to compare, and the reappearance is not counted.
+        let Some(other_uptime) = other_uptime else { return Verdict::Supersede };
+        superseded.reappearances += 1;
+        let previous_uptime = std::mem::replace(&mut superseded.uptime, uptime);
+        if superseded.reappearances < REAPPEARANCES_BEFORE_COMPARISON {
             Verdict::SupersedeDuplicate
-        } else if its_age < before
-            || superseded.returns >= RETURNS_BEFORE_TIE_BREAK && its_age <= age && own < other
+        } else if other_uptime < previous_uptime
+            || superseded.reappearances >= REAPPEARANCES_BEFORE_TIE_BREAK
+                && other_uptime <= uptime
+                && own_nonce < other_nonce
         {
-            // It told its age after we went above it, and had run for less than we had then.
+            // The other sent its uptime after this process superseded it, and that uptime is below this process's own
+            // at that time.
             Verdict::Yield
         } else {
             Verdict::SupersedeDuplicate
         }
     }
 
-    /// Nobody has the id any more.
+    /// Clears the history, when the id is no longer in use by another process.
     pub fn clear(&mut self) {
         self.0.clear();
     }
--- a/crates/fleet/src/membership/failure_detector/tests.rs
+++ b/crates/fleet/src/membership/failure_detector/tests.rs
@@ -1,12 +1,12 @@
-//! Suspicion timeouts and helpers.
+//! Suspicion timeouts.
 
 use super::*;
 use crate::codec::example_record;
 use crate::membership::MembershipConfig;
 
 #[test]
-fn more_doubters_make_it_quicker_and_a_larger_fleet_slower() {
-    let setup = MembershipConfig {
+fn suspicion_timeout_shrinks_with_reporters_and_grows_with_the_fleet() {
+    let config = MembershipConfig {
         id: MemberId::new("me").unwrap(),
         zone: "".into(),
         version: "".into(),
@@ -17,13 +17,13 @@
         retention: 1_000_000,
         nonce: 1,
     };
-    let mut membership = Membership::new(0, setup, 1);
+    let mut membership = Membership::new(0, config, 1);
     for n in 0..9 {
         membership.table.insert(0, example_record(&format!("m{n}"), 1, 0, MemberState::Alive));
     }
-    let times: Vec<Micros> = (1..=4).map(|doubters| membership.suspicion_timeout(doubters)).collect();
-    assert!(times.is_sorted_by(|a, b| a > b), "{times:?}");
-    assert_eq!((times[0], times[3]), (12_000, 4_000));
+    let timeouts: Vec<Micros> = (1..=4).map(|reporters| membership.suspicion_timeout(reporters)).collect();
+    assert!(timeouts.is_sorted_by(|a, b| a > b), "{timeouts:?}");
+    assert_eq!((timeouts[0], timeouts[3]), (12_000, 4_000));
     for n in 9..99 {
         membership.table.insert(0, example_record(&format!("m{n}"), 1, 0, MemberState::Alive));
     }
--- a/crates/fleet/src/membership/frames.rs
+++ b/crates/fleet/src/membership/frames.rs
@@ -1,4 +1,4 @@
-//! Frames that go out, and random choices among members.
+//! Construction of outgoing frames, and random choices among members.
 
 use super::*;
 
@@ -14,10 +14,10 @@
         now: Micros,
         kind: FrameKind,
         to: Option<(&MemberId, Incarnation)>,
-        probe: u64,
+        probe_id: u64,
     ) -> Frame {
         let records = self.table.take_gossip(now);
-        self.new_frame_with(now, kind, to, probe, records)
+        self.new_frame_with(now, kind, to, probe_id, records)
     }
 
     pub(super) fn new_frame_with(
@@ -25,14 +25,14 @@
         now: Micros,
         kind: FrameKind,
         to: Option<(&MemberId, Incarnation)>,
-        probe: u64,
+        probe_id: u64,
         mut records: Vec<MemberRecord>,
     ) -> Frame {
         self.counter += 1;
-        let you = to.and_then(|(id, _)| self.table.state_version(id));
-        // Whoever is not the one that we hold under its id has to hear of that one.
-        if let (Some((id, incarnation)), Some(you)) = (to, you)
-            && you.incarnation != incarnation
+        let receiver_version = to.and_then(|(id, _)| self.table.state_version(id));
+        // A receiver whose incarnation differs from the one in the table must be informed of that one.
+        if let (Some((id, incarnation)), Some(version)) = (to, receiver_version)
+            && version.incarnation != incarnation
             && let Some(record) = self.table.current_record(now, id)
         {
             records.retain(|r| r.id != *id);
@@ -43,15 +43,15 @@
             from: self.own_record(now),
             receiver_nonce: to.map_or(0, |(_, incarnation)| incarnation.nonce),
             counter: self.counter,
-            probe_id: probe,
+            probe_id,
             target: None,
-            receiver_version: you,
+            receiver_version,
             digest: self.digest(now),
             records,
         }
     }
 
-    /// Sends a frame; `known` is the receiver as its own frame told it, otherwise it is as the table has it.
+    /// Sends a frame. `known` is the receiver's record from its own frame; without it, the table's record is used.
     #[allow(clippy::too_many_arguments)]
     pub(super) fn send_frame(
         &mut self,
@@ -59,22 +59,26 @@
         kind: FrameKind,
         to: Destination,
         known: Option<&MemberRecord>,
-        probe: u64,
+        probe_id: u64,
         target: Option<(MemberId, SocketAddr)>,
         out: &mut Vec<Action>,
     ) {
-        let held = match (&to, known) {
+        let receiver = match (&to, known) {
             (_, Some(record)) => Some((record.id.clone(), record.state_version.incarnation)),
             (Destination::Member(id, _), None) => {
                 self.table.state_version(id).map(|state_version| (id.clone(), state_version.incarnation))
             }
             (Destination::Address(_) | Destination::Sender, None) => None,
         };
-        // One that is down may have started anew since: it is greeted as whoever it is now.
-        let down = known.is_none() && held.as_ref().is_some_and(|(id, _)| !self.is_live(id));
-        let mut frame =
-            self.new_frame(now, kind, held.as_ref().map(|(id, incarnation)| (id, *incarnation)), probe);
-        if down {
+        // A member that is down may have restarted since, so the frame is addressed to any incarnation.
+        let is_down = known.is_none() && receiver.as_ref().is_some_and(|(id, _)| !self.is_live(id));
+        let mut frame = self.new_frame(
+            now,
+            kind,
+            receiver.as_ref().map(|(id, incarnation)| (id, *incarnation)),
+            probe_id,
+        );
+        if is_down {
             frame.receiver_nonce = 0;
         }
         frame.target = target;
@@ -85,23 +89,23 @@
         self.table.get(id).is_some_and(|e| e.state().is_live())
     }
 
-    pub(super) fn next_probe_number(&mut self) -> u64 {
-        self.last_probe = self.last_probe.wrapping_add(1);
-        self.last_probe
+    pub(super) fn next_probe_id(&mut self) -> u64 {
+        self.last_probe_id = self.last_probe_id.wrapping_add(1);
+        self.last_probe_id
     }
 
-    pub(super) fn random_below(&mut self, below: u64) -> u64 {
-        if below == 0 { 0 } else { self.rng.next_u64() % below }
+    pub(super) fn random_below(&mut self, limit: u64) -> u64 {
+        if limit == 0 { 0 } else { self.rng.next_u64() % limit }
     }
 
-    /// Random live members, `count` at most, without one.
-    pub(super) fn random_live(&mut self, count: usize, without: Option<&MemberId>) -> Vec<Destination> {
-        let live = self.table.entries.iter().filter(|(id, e)| e.state().is_live() && Some(*id) != without);
+    /// Chooses at most `count` random live members, excluding `excluded`.
+    pub(super) fn random_live(&mut self, count: usize, excluded: Option<&MemberId>) -> Vec<Destination> {
+        let live = self.table.entries.iter().filter(|(id, e)| e.state().is_live() && Some(*id) != excluded);
         let all = live.map(|(id, e)| Destination::Member(id.clone(), e.record.info.address)).collect();
         self.choose_random(all, count)
     }
 
-    /// Chooses `count` of these at random.
+    /// Chooses at most `count` of these at random.
     pub(super) fn choose_random(&mut self, mut all: Vec<Destination>, count: usize) -> Vec<Destination> {
         for n in 0..count.min(all.len()) {
             let other = n + self.random_below((all.len() - n) as u64) as usize;
--- a/crates/fleet/src/membership/mod.rs
+++ b/crates/fleet/src/membership/mod.rs
@@ -1,10 +1,10 @@
-//! Membership of the fleet: who is there, who says so, how sure that is. Gossip without agreement, after SWIM with suspicion and
-//! Lifeguard's local health, for hundreds of members. No I/O: frames, times and information in, frames and events out.
+//! Membership of the fleet by gossip: SWIM with suspicion and Lifeguard's local health, for several hundred members.
+//! There is no consensus on the list. No I/O: it takes frames, times and information, and returns frames and events.
 //!
-//! `table` holds what is known, `failure_detector` finds who does not answer, `gossip` merges and spreads records, `duplicate_id`
-//! settles two processes under one id, `standby` is the silence of the one that yields. Which of two records about one member
-//! is the newer is [`StateVersion`]'s order; only the member itself raises its own count, so that whoever
-//! is reachable can always refute what is said of it.
+//! `table` stores what is known about the other members, `failure_detector` finds members that do not answer, `gossip`
+//! merges and spreads records, `duplicate_id` decides between two processes under one id, and `standby` is the mode of
+//! the one that yields. Records about one member are ordered by [`StateVersion`]. Only the member itself raises its
+//! sequence number, so a reachable member can always refute a false report about itself.
 
 mod duplicate_id;
 mod failure_detector;
@@ -30,103 +30,103 @@
 pub use table::MAX_MEMBERS;
 use table::Table;
 
-/// What a member is started with.
+/// Configuration of a member.
 #[derive(Clone, Debug)]
 pub struct MembershipConfig {
-    /// Its id.
+    /// The member's id.
     pub id: MemberId,
-    /// Its zone.
+    /// The zone that it runs in.
     pub zone: Arc<str>,
-    /// Its program's version.
+    /// Version of its program.
     pub version: Arc<str>,
-    /// Where it is reached.
+    /// Address at which it accepts frames.
     pub address: SocketAddr,
-    /// Whom to contact first.
+    /// Addresses to contact first.
     pub seeds: Vec<SocketAddr>,
-    /// Members that are looked for by name.
+    /// Members from the configuration that are contacted even when the table does not list them.
     pub configured: Vec<(MemberId, SocketAddr)>,
-    /// From one probe to the next.
+    /// Interval between probes.
     pub period: Micros,
-    /// For how long members that are down are remembered.
+    /// How long members that are down or left stay in the table.
     pub retention: Micros,
-    /// Drawn anew at each start; not 0.
+    /// Random number drawn at each start; not 0.
     pub nonce: u64,
 }
 
-/// Where a frame goes.
+/// Destination of a frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Destination {
-    /// To a member, at the address that it told, unless there is another way to it.
+    /// A member, at its announced address unless the caller has another route to it.
     Member(MemberId, SocketAddr),
-    /// To an address, whoever is there.
+    /// An address, whichever process uses it.
     Address(SocketAddr),
-    /// To where the frame in hand came from.
+    /// The source of the frame being handled.
     Sender,
 }
 
-/// What the membership wants done.
+/// An action that the caller is to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// A datagram. It may be lost.
+    /// Send a datagram. It may be lost.
     Datagram(Destination, Box<Frame>),
-    /// An exchange of whole tables over a stream. It may fail.
+    /// Exchange full tables over a stream. It may fail.
     ExchangeTables(Destination),
-    /// Something that operators may want to know.
+    /// Report an event to the operators.
     Notify(Event),
 }
 
-/// What happened.
+/// A change of the membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A member is there that was not known, or a new start of one.
+    /// A previously unknown member, or a new start of a known one, is live.
     Joined(MemberId),
-    /// The second says that the first does not answer.
+    /// The second member reports that the first does not answer.
     Suspected(MemberId, MemberId),
-    /// The second says that the first is down.
+    /// The second member reports that the first is down.
     Down(MemberId, MemberId),
-    /// It is there again, or was all the time.
+    /// A suspect or failed member is alive.
     Recovered(MemberId),
-    /// It said that it goes.
+    /// A member announced that it leaves.
     Left(MemberId),
-    /// Others doubted this one, and it said that it is there.
+    /// This process was suspected and refuted it.
     Refuted,
-    /// This process missed so much time, and doubts itself first.
+    /// This process was stalled for this long. It suspects no other member until it has recovered.
     Stalled(Micros),
-    /// Another process is alive under this id.
+    /// Another process is running under this id.
     DuplicateId(DuplicateProcess),
-    /// It is the newer start: this one falls silent in the fleet.
+    /// The other process under this id is the newer start: this one goes into standby.
     YieldedToDuplicate(DuplicateProcess),
-    /// Nobody has the id any more: this one speaks again.
+    /// The id is no longer in use: this process ends its standby.
     Resumed,
-    /// All live members are known, as far as this one can tell, and nothing changed of late.
+    /// The membership has had no suspect and no change for a while. Carries the number of live members.
     Settled(usize),
-    /// A member was not taken in: the table is full.
+    /// A member was not added because the table is full.
     TableFull(MemberId),
 }
 
-/// Frames that were dropped, by cause.
+/// Numbers of dropped frames, by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DropCounters {
-    /// Played again, or meant for an earlier start of this process.
+    /// Replayed, or addressed to an earlier start of this process.
     pub replayed: u64,
-    /// Sent to a process that stands by.
+    /// Received while this process was in standby.
     pub in_standby: u64,
 }
 
-/// A member as operators see it.
+/// A member as reported to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberReport {
-    /// Its id.
+    /// The member's id.
     pub id: MemberId,
-    /// Its state.
+    /// The member's state.
     pub state: MemberState,
-    /// Its generation.
+    /// Generation of its incarnation.
     pub generation: u64,
-    /// How long ago it was heard itself; `None`: never, or it is this one.
+    /// Time since the last frame from the member itself; `None` if there was none, or for this member.
     pub last_heard_age: Option<Micros>,
-    /// Who said so, where it is suspect or down.
+    /// The member that reported it as suspect or down.
     pub reported_by: Option<MemberId>,
-    /// Its last information about itself.
+    /// Its latest information about itself.
     pub info: MemberInfo,
 }
 
@@ -143,17 +143,17 @@
     info_sent_at: Micros,
     table: Table,
     counter: u64,
-    last_probe: u64,
-    /// How little this one trusts itself: 0 is wholly, and each step makes it slower to judge others.
-    distrust: u32,
+    last_probe_id: u64,
+    /// Lifeguard's local health score: 0 is healthy, and each step makes this process slower to suspect others.
+    local_health_score: u32,
     probe_order: VecDeque<MemberId>,
-    /// Probes that were not answered yet.
+    /// Probes that have not been answered yet.
     pending_probes: Vec<PendingProbe>,
-    /// When its distrust last grew.
-    distrusted_at: Micros,
+    /// When a failed probe last raised the local health score.
+    health_score_raised_at: Micros,
     indirect_probes: Vec<IndirectProbe>,
     next_probe: Micros,
-    next_reach: Micros,
+    next_rediscovery: Micros,
     next_exchange: Micros,
     last_exchange: Option<Micros>,
     last_tick: Micros,
@@ -163,33 +163,33 @@
     has_reported_settled: bool,
     superseded: SupersededIncarnations,
     duplicate: Option<DuplicateProcess>,
-    /// Address of the process that this one was in standby for.
+    /// Address of the process that this one was last in standby for.
     last_duplicate_address: Option<SocketAddr>,
     is_standby: bool,
     drop_counters: DropCounters,
 }
 
-/// Ticks in a probe period.
+/// Number of ticks in a probe period.
 const TICKS_PER_PERIOD: u64 = 5;
 /// Periods without a change after which the membership counts as settled.
 const SETTLED_PERIODS: u64 = 3;
-/// Periods between attempts to reach seeds and unseen members.
-const SEARCH_PERIODS: u64 = 2;
-/// Periods between exchanges of whole tables with a random member.
+/// Periods between attempts to contact seeds and unreachable members.
+const REDISCOVERY_PERIODS: u64 = 2;
+/// Mean number of periods between exchanges of full tables with a random member.
 const EXCHANGE_PERIODS: u64 = 30;
-/// Minimum number of periods between exchanges that a difference of digests causes.
+/// Minimum number of periods between exchanges triggered by differing digests.
 const MIN_EXCHANGE_PERIODS: u64 = 4;
 /// Number of members that urgent gossip is sent to directly.
 const GOSSIP_FAN_OUT: usize = 3;
 /// Number of members that a leaving member notifies.
 const LEAVE_FAN_OUT: usize = 8;
-/// Periods between a standby process's queries whether its id is free.
+/// Periods between a standby process's queries for whether its id is free.
 const STANDBY_QUERY_PERIODS: u64 = 5;
 /// Periods after a stall in which a process does not suspect others.
-const DOUBT_PERIODS: u64 = 3;
+const STALL_RECOVERY_PERIODS: u64 = 3;
 
 impl Membership {
-    /// A member that has just started. `seed` is for its random choices.
+    /// Creates a member that has just started. `seed` seeds its random choices.
     pub fn new(now: Micros, config: MembershipConfig, seed: u64) -> Membership {
         let info = MemberInfo {
             zone: config.zone.clone(),
@@ -197,7 +197,7 @@
             ..MemberInfo::at(config.address)
         };
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let (last_probe, jitter) = (rng.next_u64(), rng.next_u64() % config.period.max(1));
+        let (last_probe_id, jitter) = (rng.next_u64(), rng.next_u64() % config.period.max(1));
         Membership {
             rng,
             started: now,
@@ -208,14 +208,14 @@
             info_sent_at: now,
             table: Table::default(),
             counter: 0,
-            last_probe,
-            distrust: 0,
+            last_probe_id,
+            local_health_score: 0,
             probe_order: VecDeque::new(),
             pending_probes: Vec::new(),
-            distrusted_at: now,
+            health_score_raised_at: now,
             indirect_probes: Vec::new(),
             next_probe: now + jitter,
-            next_reach: now,
+            next_rediscovery: now,
             next_exchange: now + config.period * EXCHANGE_PERIODS / 2 + jitter * EXCHANGE_PERIODS / 2,
             last_exchange: None,
             last_tick: now,
@@ -232,8 +232,8 @@
         }
     }
 
-    /// The settling bound: after this time without a fault, all live members hold the same, correct list. It depends on the
-    /// size of the fleet (`docs/design/fleet.md`).
+    /// The settling bound: once no fault has occurred for this long, all live members have the same, correct list. It
+    /// depends on the size of the fleet (`docs/design/fleet.md`).
     pub fn settling_bound(period: Micros, size: usize) -> Micros {
         period * (16.0 + 14.0 * (size.max(10) as f64).log10()).ceil() as u64
     }
@@ -256,12 +256,12 @@
         if self.is_standby {
             return self.handle_frame_in_standby(now, frame, out);
         }
-        if !self.table.is_new_frame(&frame.from.id, frame.from.state_version.incarnation, frame.counter) {
+        if !self.table.record_if_new(&frame.from.id, frame.from.state_version.incarnation, frame.counter) {
             self.drop_counters.replayed += 1;
             return;
         }
-        // A frame for an earlier incarnation of this process: its sender may not know this one yet and is answered, but the
-        // frame's content is ignored.
+        // A frame for an earlier incarnation of this process. Its sender may not know the current one yet, so a ping is
+        // answered, but the frame's content is ignored.
         let is_stale = frame.receiver_nonce != 0 && frame.receiver_nonce != self.incarnation.nonce;
         if is_stale && frame.kind != FrameKind::Ping {
             self.drop_counters.replayed += 1;
@@ -272,67 +272,57 @@
 
     /// Handles a frame that is not a replay.
     fn handle_new_frame(&mut self, now: Micros, frame: Frame, is_stale: bool, out: &mut Vec<Action>) {
-        let Frame {
-            kind,
-            from,
-            counter,
-            probe_id: probe,
-            target,
-            receiver_version: you,
-            digest,
-            records,
-            ..
-        } = frame;
+        let Frame { kind, from, counter, probe_id, target, receiver_version, digest, records, .. } = frame;
         let sender = from.clone();
         let incarnation = sender.state_version.incarnation;
-        let held = self.table.state_version(&from.id);
-        let is_known = held.is_some_and(|held| held.incarnation == incarnation);
-        // The sender is told of an earlier incarnation of its generation, so that it can choose a higher one.
-        let earlier = held.filter(|held| {
-            held.incarnation != incarnation && held.incarnation.generation == incarnation.generation
+        let known = self.table.state_version(&from.id);
+        let is_known = known.is_some_and(|known| known.incarnation == incarnation);
+        // The sender is informed of another incarnation with its generation, so that it can choose a higher one.
+        let conflicting = known.filter(|known| {
+            known.incarnation != incarnation && known.incarnation.generation == incarnation.generation
         });
         if !is_stale {
-            self.handle_sender(now, from, you, records, out);
-            // The first frame of an incarnation counts as seen too.
+            self.handle_sender(now, from, receiver_version, records, out);
+            // Registers the first frame of an incarnation in the replay window, too.
             if !is_known {
-                self.table.is_new_frame(&sender.id, incarnation, counter);
+                self.table.record_if_new(&sender.id, incarnation, counter);
             }
         }
-        self.answer_frame(now, kind, &sender, probe, earlier, out);
+        self.answer_frame(now, kind, &sender, probe_id, conflicting, out);
         match kind {
             FrameKind::Ack => {
-                self.handle_ack(probe);
+                self.handle_ack(probe_id);
                 self.compare_digest(now, &sender, digest, out);
-                self.forward_ack(now, &sender, probe, out);
+                self.forward_ack(now, &sender, probe_id, out);
             }
-            FrameKind::PingRequest => self.handle_ping_request(now, &sender, probe, target, out),
-            FrameKind::Nack => self.handle_nack(probe),
+            FrameKind::PingRequest => self.handle_ping_request(now, &sender, probe_id, target, out),
+            FrameKind::Nack => self.handle_nack(probe_id),
             FrameKind::Ping | FrameKind::Gossip | FrameKind::FullState | FrameKind::IdQuery => {}
         }
     }
 
-    /// Answers a ping, and a sender that must hear of an earlier start of its generation.
+    /// Answers a ping, and informs a sender of another start with its generation.
     fn answer_frame(
         &mut self,
         now: Micros,
         kind: FrameKind,
         sender: &MemberRecord,
-        probe: u64,
-        earlier: Option<StateVersion>,
+        probe_id: u64,
+        conflicting: Option<StateVersion>,
         out: &mut Vec<Action>,
     ) {
         let answer = match kind {
             FrameKind::Ping => FrameKind::Ack,
-            _ if earlier.is_some() => FrameKind::Gossip,
+            _ if conflicting.is_some() => FrameKind::Gossip,
             _ => return,
         };
         let receiver = Some((&sender.id, sender.state_version.incarnation));
-        let mut frame = self.new_frame(now, answer, receiver, probe);
-        frame.receiver_version = earlier.or(frame.receiver_version);
+        let mut frame = self.new_frame(now, answer, receiver, probe_id);
+        frame.receiver_version = conflicting.or(frame.receiver_version);
         out.push(Action::Datagram(to(sender), Box::new(frame)));
     }
 
-    /// Whether it takes part in the fleet: it has not left and is not in standby.
+    /// Whether this process takes part in the fleet: it has not left and is not in standby.
     pub fn is_active(&self) -> bool {
         self.state != MemberState::Left && !self.is_standby
     }
@@ -353,12 +343,12 @@
             return self.query_own_id(now, out);
         }
         if missed > self.config.period {
-            self.start_doubting(now, missed, out);
+            self.start_stall_recovery(now, missed, out);
         }
         self.detect_failures(now, out);
-        if now >= self.next_reach {
-            self.next_reach = now + self.config.period * SEARCH_PERIODS;
-            self.search_unseen(now, out);
+        if now >= self.next_rediscovery {
+            self.next_rediscovery = now + self.config.period * REDISCOVERY_PERIODS;
+            self.rediscover_members(now, out);
         }
         if now >= self.next_exchange {
             self.next_exchange = now
@@ -368,7 +358,7 @@
                 self.request_exchange(now, to, 1, out);
             }
         }
-        self.table.forget_expired(now, self.config.retention);
+        self.table.remove_expired(now, self.config.retention);
         let settled = self.is_settled(now);
         if settled && !self.has_reported_settled {
             out.push(Action::Notify(Event::Settled(self.table.live + 1)));
@@ -376,19 +366,19 @@
         self.has_reported_settled = settled;
     }
 
-    /// This process missed time, and the others did not: it gives every suspect the time again, and first hears how the others
-    /// see it.
-    fn start_doubting(&mut self, now: Micros, missed: Micros, out: &mut Vec<Action>) {
+    /// Handles a stall of this process, which the other members did not share: extends the time of every suspect, and
+    /// exchanges tables to learn the others' current state.
+    fn start_stall_recovery(&mut self, now: Micros, missed: Micros, out: &mut Vec<Action>) {
         out.push(Action::Notify(Event::Stalled(missed)));
         self.stalled_at = Some(now);
         self.pending_probes.clear();
         self.indirect_probes.clear();
         self.next_probe = now;
-        self.next_reach = now;
-        self.distrust = (self.distrust + 1).min(failure_detector::MAX_DISTRUST);
+        self.next_rediscovery = now;
+        self.local_health_score = (self.local_health_score + 1).min(failure_detector::MAX_LOCAL_HEALTH_SCORE);
         for id in &self.table.suspect_ids {
             if let Some(suspicion) = self.table.entries.get_mut(id).and_then(|e| e.suspicion.as_mut()) {
-                suspicion.since += missed + self.config.period * DOUBT_PERIODS;
+                suspicion.since += missed + self.config.period * STALL_RECOVERY_PERIODS;
             }
         }
         if let Some(to) = self.random_live(1, None).pop() {
@@ -397,49 +387,56 @@
         self.record_change(now);
     }
 
-    /// Whether it is still unsure after a stall.
-    fn is_doubting(&self, now: Micros) -> bool {
-        self.stalled_at.is_some_and(|at| now.saturating_sub(at) < self.config.period * DOUBT_PERIODS)
+    /// Whether a stall was so recent that this process does not suspect others yet.
+    fn is_recovering_from_stall(&self, now: Micros) -> bool {
+        self.stalled_at.is_some_and(|at| now.saturating_sub(at) < self.config.period * STALL_RECOVERY_PERIODS)
     }
 
-    /// Pings members that are not seen: a random one of those that are down, forgotten or configured, and the seeds.
-    fn search_unseen(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let alone = self.table.live == 0;
-        let live = |id: &MemberId| self.table.get(id).is_some_and(|e| e.state().is_live());
+    /// Pings members that are not live: a random one of those that are down, removed or configured, and the seeds.
+    fn rediscover_members(&mut self, now: Micros, out: &mut Vec<Action>) {
+        let is_alone = self.table.live == 0;
+        let is_live = |id: &MemberId| self.table.get(id).is_some_and(|e| e.state().is_live());
         let down = self.table.entries.iter().filter(|(_, e)| e.state() == MemberState::Down);
-        let unseen: Vec<Destination> = down
+        let unreachable: Vec<Destination> = down
             .map(|(id, e)| Destination::Member(id.clone(), e.record.info.address))
-            .chain(self.table.forgotten.iter().map(|(id, at)| Destination::Member(id.clone(), *at)))
+            .chain(
+                self.table
+                    .removed_addresses
+                    .iter()
+                    .map(|(id, address)| Destination::Member(id.clone(), *address)),
+            )
             .chain(
                 self.config
                     .configured
                     .iter()
-                    .filter(|(id, _)| !live(id))
-                    .map(|(id, at)| Destination::Member(id.clone(), *at)),
+                    .filter(|(id, _)| !is_live(id))
+                    .map(|(id, address)| Destination::Member(id.clone(), *address)),
             )
             .filter(|to| !matches!(to, Destination::Member(id, _) if *id == self.config.id))
             .collect();
-        let mut goes: Vec<Destination> = Vec::new();
-        if !unseen.is_empty() {
-            goes.push(unseen[self.random_below(unseen.len() as u64) as usize].clone());
+        let mut destinations: Vec<Destination> = Vec::new();
+        if !unreachable.is_empty() {
+            destinations.push(unreachable[self.random_below(unreachable.len() as u64) as usize].clone());
         }
-        if alone {
-            goes.extend(self.config.seeds.iter().take(8).map(|at| Destination::Address(*at)));
-            goes.extend(unseen.into_iter().take(8));
+        if is_alone {
+            destinations
+                .extend(self.config.seeds.iter().take(8).map(|address| Destination::Address(*address)));
+            destinations.extend(unreachable.into_iter().take(8));
         } else if !self.config.seeds.is_empty() && self.random_below(5) == 0 {
-            // Now and then also while all is well: two fleets that grew apart by their seeds.
-            let drawn = self.random_below(self.config.seeds.len() as u64) as usize;
-            goes.push(Destination::Address(self.config.seeds[drawn]));
+            // Also contacts a seed occasionally while other members are live, to merge fleets that formed separately
+            // from their seeds.
+            let index = self.random_below(self.config.seeds.len() as u64) as usize;
+            destinations.push(Destination::Address(self.config.seeds[index]));
         }
-        // It may have been cut off only, and then the two may know nobody in common.
-        goes.extend(self.last_duplicate_address.map(Destination::Address));
-        for to in goes {
-            let probe = self.next_probe_number();
-            self.send_frame(now, FrameKind::Ping, to, None, probe, None, out);
+        // The duplicate may only have been partitioned off, and the two processes may have no other member in common.
+        destinations.extend(self.last_duplicate_address.map(Destination::Address));
+        for to in destinations {
+            let probe_id = self.next_probe_id();
+            self.send_frame(now, FrameKind::Ping, to, None, probe_id, None, out);
         }
     }
 
-    /// Says that this member leaves. Nothing is handled or sent afterwards.
+    /// Announces that this member leaves. Nothing is handled or sent afterwards.
     pub fn leave(&mut self, now: Micros, out: &mut Vec<Action>) {
         if !self.is_active() {
             self.state = MemberState::Left;
--- a/crates/fleet/src/membership/report.rs
+++ b/crates/fleet/src/membership/report.rs
@@ -1,16 +1,20 @@
-//! What the membership reports: to operators, to the runtime, and to those who divide budgets by it.
+//! Queries on the membership, for operators, the runtime and the slow-start budget.
 
 use super::*;
 
 impl Membership {
-    /// Whether there is no suspect, and no change for three periods; for one that has never heard another, not before it could have.
+    /// Whether there has been no suspect and no change for three periods. A process that has not heard from another
+    /// member must also have been running long enough to do so.
     pub fn is_settled(&self, now: Micros) -> bool {
-        let quiet = now.saturating_sub(self.changed_at) >= self.config.period * SETTLED_PERIODS;
-        let alone_long = now.saturating_sub(self.started) >= self.config.period * SETTLED_PERIODS * 2;
-        self.is_active() && quiet && self.table.suspect_ids.is_empty() && (self.has_joined || alone_long)
+        let is_unchanged = now.saturating_sub(self.changed_at) >= self.config.period * SETTLED_PERIODS;
+        let had_time_to_join = now.saturating_sub(self.started) >= self.config.period * SETTLED_PERIODS * 2;
+        self.is_active()
+            && is_unchanged
+            && self.table.suspect_ids.is_empty()
+            && (self.has_joined || had_time_to_join)
     }
 
-    /// Where a member is reached, by its own information.
+    /// A member's address, from its own information.
     pub fn address_of(&self, id: &MemberId) -> Option<SocketAddr> {
         self.table.get(id).map(|entry| entry.record.info.address)
     }
@@ -20,12 +24,12 @@
         self.config.id == *id
     }
 
-    /// Whether another member was heard since the start.
+    /// Whether another member has been heard from since the start.
     pub fn has_joined(&self) -> bool {
         self.has_joined
     }
 
-    /// The other process under this id, if one is known to be alive.
+    /// The other process under this id, if one is known to be running.
     pub fn duplicate(&self) -> Option<DuplicateProcess> {
         self.duplicate
     }
@@ -35,18 +39,18 @@
         self.is_standby
     }
 
-    /// Frames that were dropped here.
+    /// Numbers of frames dropped by the membership.
     pub fn drop_counters(&self) -> DropCounters {
         self.drop_counters
     }
 
-    /// Members that are live, this one included, and those that are down.
+    /// Number of live members, including this one, and number of members that are down.
     pub fn member_counts(&self) -> (usize, usize) {
         let down = self.table.entries.values().filter(|e| e.state() == MemberState::Down).count();
         (self.table.live + usize::from(self.is_active()), down)
     }
 
-    /// All members, by id, this one among them.
+    /// All members including this one, sorted by id.
     pub fn members(&self, now: Micros) -> Vec<MemberReport> {
         let me = self.own_record(now);
         let me = MemberReport {
@@ -70,7 +74,7 @@
         all
     }
 
-    /// Ids of the live ones, by id, this one among them.
+    /// Ids of all live members including this one, sorted.
     pub fn live_members(&self) -> Vec<MemberId> {
         let others = self.table.entries.iter().filter(|(_, e)| e.state().is_live()).map(|(id, _)| id.clone());
         let mut all: Vec<MemberId> = others.chain(self.is_active().then(|| self.config.id.clone())).collect();
--- a/crates/fleet/src/membership/table/tests.rs
+++ b/crates/fleet/src/membership/table/tests.rs
@@ -1,19 +1,19 @@
-//! Gossip, bounds and the digest.
+//! Replay window, table limits, gossip queue and digest.
 
 use super::*;
 use crate::codec::example_record;
 
 #[test]
-fn a_frame_played_again_is_known() {
+fn replayed_frames_are_detected() {
     let mut window = Window::default();
-    assert!(window.is_new_frame(5) && window.is_new_frame(9) && window.is_new_frame(7));
-    assert!(!window.is_new_frame(7) && !window.is_new_frame(9) && !window.is_new_frame(5));
-    assert!(window.is_new_frame(100) && !window.is_new_frame(9), "older than the window");
-    assert!(window.is_new_frame(40) && !window.is_new_frame(40));
+    assert!(window.record_if_new(5) && window.record_if_new(9) && window.record_if_new(7));
+    assert!(!window.record_if_new(7) && !window.record_if_new(9) && !window.record_if_new(5));
+    assert!(window.record_if_new(100) && !window.record_if_new(9), "older than the window");
+    assert!(window.record_if_new(40) && !window.record_if_new(40));
 }
 
 #[test]
-fn at_the_bound_the_longest_gone_makes_way_and_the_living_stay() {
+fn full_table_evicts_the_longest_down_member_and_keeps_live_ones() {
     let mut table = Table::default();
     for n in 0..MAX_MEMBERS {
         assert!(table.insert(n as u64, example_record(&format!("m{n}"), 1, 0, MemberState::Alive)));
@@ -23,27 +23,27 @@
     assert!(table.insert(6000, example_record("m7", 1, 0, MemberState::Down)));
     assert!(table.insert(7000, example_record("one-more", 1, 0, MemberState::Alive)));
     assert!(table.get(&MemberId::new("m7").unwrap()).is_none());
-    assert_eq!(table.forgotten.len(), 1, "its address is kept");
+    assert_eq!(table.removed_addresses.len(), 1, "the evicted member's address is kept");
 }
 
 #[test]
-fn a_change_is_told_so_often_and_no_more_and_one_frame_is_bounded() {
+fn each_change_is_sent_a_fixed_number_of_times_in_frames_of_limited_size() {
     let mut table = Table::default();
     for n in 0..100 {
         table.insert(0, example_record(&format!("m{n}"), 1, 0, MemberState::Alive));
     }
-    let mut told = 0;
+    let mut sent = 0;
     for _ in 0..1000 {
         let records = table.take_gossip(0);
         assert!(records.iter().map(codec::estimated_record_size).sum::<usize>() <= MAX_PIGGYBACK_BYTES);
-        told += records.len();
+        sent += records.len();
     }
-    assert_eq!(told, 100 * 3 * 7, "three times the logarithm of 102, each");
+    assert_eq!(sent, 100 * 3 * 7, "each record is sent three times the binary logarithm of 102");
 }
 
-/// Behind the news of some hundreds who start at once, a newer word does not wait.
+/// A new record is sent before the queued records of several hundred members that started at once.
 #[test]
-fn the_newest_word_goes_first() {
+fn newest_record_is_sent_first() {
     let mut table = Table::default();
     for n in 0..500 {
         table.insert(0, example_record(&format!("m{n}"), 1, 0, MemberState::Alive));
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn the_digest_is_of_who_lives_and_not_of_their_figures() {
+fn digest_depends_on_the_live_members_and_not_on_their_figures() {
     let (mut one, mut two) = (Table::default(), Table::default());
     let me = example_record("me", 1, 0, MemberState::Alive);
     for n in [1, 2, 3] {
--- a/crates/fleet/tests/formats.rs
+++ b/crates/fleet/tests/formats.rs
@@ -1,5 +1,6 @@
-//! What the version before the names were changed wrote is read by this one, and this one writes the same bytes. The fixtures were
-//! written by that version: a voter's log, with and without a snapshot, and one frame of each kind.
+//! Stored logs and frames written before the rename of the formats' identifiers must still be readable, and must be
+//! encoded to the same bytes. The fixtures were written by that earlier version: a voter's log, with and without a
+//! snapshot, and one frame of each kind.
 
 use cobaltspool_fleet::codec::{self, Key, MAX_DATAGRAM_BYTES};
 use cobaltspool_fleet::envelope::{Payload, PeerMessage};
@@ -15,7 +16,7 @@
 const VOTER_LOG_WITH_SNAPSHOT: &[u8] = include_bytes!("fixtures/v0_1/voter-with-snapshot.log");
 
 fn member(id: &str) -> MemberId {
-    MemberId::new(id).expect("a member's id")
+    MemberId::new(id).expect("a valid member id")
 }
 
 fn contents_of(bytes: &[u8]) -> WalContents {
@@ -57,13 +58,13 @@
 }
 
 #[rstest]
-#[case::ask(include_bytes!("fixtures/v0_1/peer-ask.frame"), "RequestVote { is_pre_vote: true, last: LogPosition { term: 7, index: 3 } }")]
-#[case::vote(include_bytes!("fixtures/v0_1/peer-vote.frame"), "VoteResponse { is_pre_vote: false, granted: true }")]
-#[case::append(include_bytes!("fixtures/v0_1/peer-append.frame"), "AppendEntries { prev: LogPosition { term: 7, index: 3 }, entries: [Entry { term: 6, ")]
-#[case::snapshot(include_bytes!("fixtures/v0_1/peer-snapshot.frame"), "InstallSnapshot { last: LogPosition { term: 7, index: 3 }, ")]
-#[case::appended(include_bytes!("fixtures/v0_1/peer-appended.frame"), "AppendResponse { matches: true, index: 3, round: 11 }")]
-#[case::hello(include_bytes!("fixtures/v0_1/peer-hello.frame"), "RejoinRequest")]
-#[case::welcome(
+#[case::request_vote(include_bytes!("fixtures/v0_1/peer-ask.frame"), "RequestVote { is_pre_vote: true, last: LogPosition { term: 7, index: 3 } }")]
+#[case::vote_response(include_bytes!("fixtures/v0_1/peer-vote.frame"), "VoteResponse { is_pre_vote: false, granted: true }")]
+#[case::append_entries(include_bytes!("fixtures/v0_1/peer-append.frame"), "AppendEntries { prev: LogPosition { term: 7, index: 3 }, entries: [Entry { term: 6, ")]
+#[case::install_snapshot(include_bytes!("fixtures/v0_1/peer-snapshot.frame"), "InstallSnapshot { last: LogPosition { term: 7, index: 3 }, ")]
+#[case::append_response(include_bytes!("fixtures/v0_1/peer-appended.frame"), "AppendResponse { matches: true, index: 3, round: 11 }")]
+#[case::rejoin_request(include_bytes!("fixtures/v0_1/peer-hello.frame"), "RejoinRequest")]
+#[case::rejoin_response(
     include_bytes!("fixtures/v0_1/peer-welcome.frame"),
     "RejoinResponse { promised: LogPosition { term: 7, index: 3 }, last: LogPosition { term: 6, index: 1 }, has_rejoined: true, remembered: LogPosition { term: 7, index: 2 } }"
 )]
@@ -79,9 +80,9 @@
 }
 
 #[rstest]
-#[case::claim(include_bytes!("fixtures/v0_1/peer-claim.frame"))]
-#[case::claimed(include_bytes!("fixtures/v0_1/peer-claimed.frame"))]
-#[case::elsewhere(include_bytes!("fixtures/v0_1/peer-elsewhere.frame"))]
+#[case::lease_request(include_bytes!("fixtures/v0_1/peer-claim.frame"))]
+#[case::lease_response(include_bytes!("fixtures/v0_1/peer-claimed.frame"))]
+#[case::not_leader(include_bytes!("fixtures/v0_1/peer-elsewhere.frame"))]
 fn lease_message_of_the_earlier_version_is_read_and_written(#[case] frame: &[u8]) {
     let key = Key::from_bytes(KEY);
     let envelope: PeerMessage = codec::decode_envelope(frame, &key).expect("a frame of this version");
@@ -106,11 +107,11 @@
 #[rstest]
 #[case::ping(include_bytes!("fixtures/v0_1/view-ping.frame"))]
 #[case::ack(include_bytes!("fixtures/v0_1/view-ack.frame"))]
-#[case::ask(include_bytes!("fixtures/v0_1/view-ask.frame"))]
+#[case::ping_request(include_bytes!("fixtures/v0_1/view-ask.frame"))]
 #[case::nack(include_bytes!("fixtures/v0_1/view-nack.frame"))]
-#[case::table(include_bytes!("fixtures/v0_1/view-table.frame"))]
-#[case::tell(include_bytes!("fixtures/v0_1/view-tell.frame"))]
-#[case::query(include_bytes!("fixtures/v0_1/view-query.frame"))]
+#[case::full_state(include_bytes!("fixtures/v0_1/view-table.frame"))]
+#[case::gossip(include_bytes!("fixtures/v0_1/view-tell.frame"))]
+#[case::id_query(include_bytes!("fixtures/v0_1/view-query.frame"))]
 fn membership_frame_of_the_earlier_version_is_read_and_written(#[case] bytes: &[u8]) {
     let key = Key::from_bytes(KEY);
     let frame = codec::decode(bytes, MAX_DATAGRAM_BYTES, &key).expect("a frame of this version");
@@ -121,9 +122,9 @@
     assert_eq!(codec::encode(&frame, &key), bytes);
 }
 
-/// A record's place in the file depends on its kind alone, whatever the variants are called.
+/// A log file is the header followed by the encoded records. The encoding of a record does not depend on variant names.
 #[test]
-fn records_are_written_one_behind_the_other() {
+fn log_file_is_the_header_followed_by_its_records_in_order() {
     let contents = contents_of(VOTER_LOG);
     let mut bytes = wal::header();
     bytes.extend(wal::encode(&LogRecord::HardState(contents.hard_state.clone())));
