--- a/crates/fleet/src/quorum/election.rs
+++ b/crates/fleet/src/quorum/election.rs
@@ -1,17 +1,17 @@
-//! Elections: roles, votes and terms.
+//! Leader election: roles, votes and terms.
 
 use super::{Action, Event, LogPosition, MessageBody, Progress, Role, Voter};
 use crate::Micros;
 use crate::member::MemberId;
 
 impl Voter {
-    /// Whether a leader was heard within an election timeout, or this voter leads.
+    /// Whether this voter leads or had contact with a leader within an election timeout.
     pub(super) fn has_leader(&self, now: Micros) -> bool {
         let is_recent = now.saturating_sub(self.leader_contact_at) < self.config.election_timeout;
         self.role == Role::Leader || self.leader.is_some() && is_recent
     }
 
-    /// Leads and campaigns no more; follows this leader, where one is known.
+    /// Becomes a follower of this leader, or of none if the leader is unknown. Ends leadership and candidacy.
     pub(super) fn become_follower(&mut self, leader: Option<MemberId>, actions: &mut Vec<Action>) {
         if self.role == Role::Leader {
             actions.push(Action::Notify(Event::SteppedDown));
@@ -34,13 +34,13 @@
         self.reset_election_deadline(now);
     }
 
-    /// Starts a campaign: asks for votes, or first whether there would be any.
+    /// Starts a campaign: requests pre-votes, or votes directly if pre-vote is disabled.
     pub fn campaign(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.reset_election_deadline(now);
         if self.rejoin.is_some() || self.is_read_only {
             return;
         }
-        // One that is behind what it may have promised would be elected by nobody who remembers.
+        // Voters that hold the promised position would not elect a voter whose log ends before it.
         if self.log.last() < self.promised {
             return self.request_log_positions(actions);
         }
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Begins the next term and votes for itself.
+    /// Starts the next term and votes for itself.
     fn start_term(&mut self, actions: &mut Vec<Action>) {
         self.hard_state.term += 1;
         self.hard_state.voted_for = Some(self.config.id.clone());
@@ -65,9 +65,9 @@
 
     fn request_votes(&mut self, is_pre_vote: bool, actions: &mut Vec<Action>) {
         let term = self.hard_state.term + u64::from(is_pre_vote);
-        for to in self.others() {
+        for to in self.other_voters() {
             let body = MessageBody::RequestVote { is_pre_vote, last: self.log.last() };
-            actions.push(Action::Send(self.message(&to, term, body)));
+            actions.push(Action::Send(self.build_message(&to, term, body)));
         }
     }
 
@@ -83,13 +83,14 @@
         let is_up_to_date = last >= self.log.last().max(self.promised);
         if is_pre_vote {
             let granted = is_up_to_date && term > self.hard_state.term;
-            // A grant names the term that it is for, a denial the one that is held here.
+            // A granted pre-vote carries the requested term, a rejected one the current term of this voter.
             let term = if granted { term } else { self.hard_state.term };
             let body = MessageBody::VoteResponse { is_pre_vote, granted };
-            return actions.push(Action::Send(self.message(&from, term, body)));
+            return actions.push(Action::Send(self.build_message(&from, term, body)));
         }
-        let is_free = self.hard_state.voted_for.as_ref().is_none_or(|voted_for| *voted_for == from);
-        let granted = is_up_to_date && is_free && term == self.hard_state.term;
+        let may_vote_for_candidate =
+            self.hard_state.voted_for.as_ref().is_none_or(|voted_for| *voted_for == from);
+        let granted = is_up_to_date && may_vote_for_candidate && term == self.hard_state.term;
         if granted {
             if self.hard_state.voted_for.is_none() {
                 self.hard_state.voted_for = Some(from.clone());
@@ -100,7 +101,7 @@
         self.send_when_durable(&from, MessageBody::VoteResponse { is_pre_vote, granted }, actions);
     }
 
-    /// A vote, or pre-vote, was granted.
+    /// Handles a granted vote or pre-vote.
     pub(super) fn handle_vote(
         &mut self,
         now: Micros,
@@ -128,7 +129,7 @@
                 self.start_term(actions);
                 self.request_votes(false, actions);
             }
-            // Its own vote counts once it is on disk.
+            // The candidate's own vote counts once it is on disk.
             Role::Candidate if self.is_durable() => self.become_leader(now, actions),
             Role::Candidate | Role::Follower | Role::Leader => {}
         }
@@ -139,7 +140,7 @@
         self.leader = None;
         let next_index = self.log.last().index + 1;
         let progress = Progress { next_index, last_contact_at: now, ..Progress::default() };
-        self.progress = self.others().into_iter().map(|id| (id, progress)).collect();
+        self.progress = self.other_voters().into_iter().map(|id| (id, progress)).collect();
         actions.push(Action::Notify(Event::BecameLeader { term: self.hard_state.term }));
         self.append_command(None, actions);
         self.send_heartbeats(actions);
--- a/crates/fleet/src/quorum/machine.rs
+++ b/crates/fleet/src/quorum/machine.rs
@@ -1,5 +1,6 @@
-//! The replicated state machine: every voter feeds it with the same commands. Each command is carried out at most once, also when it
-//! was sent again because its answer was lost: the answer to each session's last command is kept with the state.
+//! The replicated state machine: every voter applies the same commands in the same order. Each command takes effect at
+//! most once, even if the client resends it because the answer was lost: the answer to the last command of each session
+//! is part of the state.
 
 use std::collections::BTreeMap;
 
@@ -8,15 +9,15 @@
 
 use super::{Command, Entry};
 
-/// Maximum number of sessions that are remembered; at the bound the one whose last command is the oldest is forgotten.
+/// Maximum number of sessions. When it is reached, a new session evicts the one whose last command is the oldest.
 const MAX_SESSIONS: usize = 4_096;
 
-/// A state machine without I/O and without a clock. The same commands bring every copy to the same state.
+/// A deterministic state machine without I/O and clock: the same commands bring every replica to the same state.
 pub trait StateMachine: Clone + Default + Serialize + DeserializeOwned {
-    /// What a command returns.
+    /// The result of a command.
     type Answer: Clone + Serialize + DeserializeOwned;
 
-    /// Carries a command out; `index` is its index in the log, above that of all commands before.
+    /// Applies a command. `index` is its index in the log, which is higher than that of every earlier command.
     fn apply(&mut self, index: u64, body: &[u8]) -> Self::Answer;
 }
 
@@ -27,14 +28,14 @@
     answer: A,
 }
 
-/// A state machine with its clients' sessions.
+/// A state machine and the sessions of its clients.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(bound = "")]
 pub struct Replica<M: StateMachine> {
     /// The state machine.
     pub machine: M,
     sessions: BTreeMap<u64, Session<M::Answer>>,
-    /// The last index that was applied.
+    /// The index of the last applied entry.
     pub applied: u64,
 }
 
@@ -45,8 +46,9 @@
 }
 
 impl<M: StateMachine> Replica<M> {
-    /// Applies a committed entry and returns the answer to its command, if it has one. A command that was applied before is
-    /// answered as it was then; one that is older than the session's last gets no answer: its client has gone on.
+    /// Applies a committed entry and returns the answer to its command, if any. A repetition of the session's last
+    /// command returns the stored answer. A command older than that returns no answer, because its client has already
+    /// sent a later one.
     pub fn apply(&mut self, index: u64, entry: &Entry) -> Option<M::Answer> {
         if index <= self.applied {
             return None;
@@ -72,12 +74,12 @@
         }
     }
 
-    /// The whole state, for a snapshot.
+    /// Serializes the state machine and the sessions for a snapshot.
     pub fn state(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Reads a snapshot; `None`: it is unreadable.
+    /// Restores a replica from a snapshot; `None` if it cannot be decoded.
     pub fn from_state(state: &[u8]) -> Option<Self> {
         postcard::from_bytes(state).ok()
     }
--- a/crates/fleet/src/quorum/mod.rs
+++ b/crates/fleet/src/quorum/mod.rs
@@ -1,24 +1,26 @@
-//! A small replicated log among 3, 5 or 7 voters, after Raft (Ongaro 2014) with pre-vote and check-quorum. No I/O: messages, times
-//! and the disk's reports in; messages, writes and committed entries out.
+//! A replicated log for 3, 5 or 7 voters, based on Raft (Ongaro 2014) with pre-vote and check-quorum. It performs no
+//! I/O. Its inputs are messages, times and completed disk writes; its outputs are messages, write requests and
+//! committed entries.
 //!
-//! Beyond Raft: **every start goes through a rejoin** ([`rejoin`]). A disk may have forgotten what its voter promised (an empty or an
-//! older folder, an fsync that kept nothing, an unreadable record), and no voter can tell by itself. So one that has started
-//! takes a new [`Incarnation`], asks the others how far they are, and neither votes, leads nor acknowledges before enough of
-//! them have answered. From then on it votes for nobody who is behind the furthest of those answers. Messages carry the
-//! incarnations that their sender knows, and what an earlier incarnation of a voter promised counts no more once a later one
-//! is known.
+//! Extension to Raft: **every start goes through a rejoin** ([`rejoin`]). A disk may have lost what its voter promised
+//! (an empty or outdated folder, an fsync that did not persist the data, an unreadable record), and a voter cannot
+//! detect this by itself. Therefore a voter that starts takes a new [`Incarnation`], asks the other voters for their
+//! log positions, and does not vote, lead or acknowledge entries until enough of them have answered. After that it
+//! votes only for candidates whose log reaches at least the highest position in those answers. Messages carry the
+//! incarnations known to their sender. Once a later incarnation of a voter is known, the promises of its earlier
+//! incarnations are void.
 //!
-//! What must be on disk before a message leaves is decided here: a message that states a promise is delayed until
-//! [`Voter::handle_write_completed`] reports the write that it rests on.
+//! This module also decides which writes must complete before a message is sent: a message that contains a promise is
+//! delayed until [`Voter::handle_write_completed`] reports the write on which it depends.
 //!
-//! | file | concern |
+//! | file | contents |
 //! | --- | --- |
-//! | `mod` | the voter's state, its timers and the way of a message |
+//! | `mod` | the voter's state, timers and message dispatch |
 //! | `election` | roles, votes and terms |
-//! | `replicate` | the log from the leader to the others |
-//! | `rejoin` | how a voter that has started takes part again |
-//! | `log`, `machine` | a voter's log; the state machine and its sessions |
-//! | `types` | messages, records, configuration |
+//! | `replicate` | log replication from the leader to the followers, and commitment |
+//! | `rejoin` | the protocol by which a restarted voter takes part again |
+//! | `log`, `machine` | a voter's log; the state machine and its client sessions |
+//! | `types` | messages, log records, configuration |
 
 mod election;
 pub mod log;
@@ -42,32 +44,35 @@
     MessageBody, ProposeError, RecoveredState, Role, SafetyChecks, VoterStatus,
 };
 
-/// Maximum size of a command's body.
+/// Maximum size of a command body.
 pub const MAX_COMMAND_BYTES: usize = 4_096;
 /// Maximum number of entries in a message.
 const MAX_ENTRIES_PER_MESSAGE: usize = 64;
-/// Maximum number of entries behind the snapshot; at the bound the voter asks for a snapshot, and far beyond it takes no commands.
+/// Number of entries after the snapshot at which the voter requests compaction. At `MAX_LOG_OVERRUN` (`replicate`)
+/// times this number it accepts no commands.
 pub const MAX_LOG_LENGTH: u64 = 1_024;
-/// Maximum number of commands that are not committed yet; further ones are refused.
+/// Maximum number of uncommitted commands; further commands are rejected.
 const MAX_UNCOMMITTED: u64 = 512;
-/// Maximum number of messages that wait for the disk; further ones are dropped, as the network may drop them.
+/// Maximum number of messages delayed until a disk write completes. Further messages are dropped, which the protocol
+/// tolerates because the network may drop messages too.
 const MAX_DELAYED_MESSAGES: usize = 256;
-/// Maximum number of confirmations of leadership that are under way.
+/// Maximum number of pending leadership confirmations.
 const MAX_PENDING_READS: usize = 256;
-/// Heartbeats in an election timeout.
+/// Number of heartbeats per election timeout.
 const HEARTBEATS_PER_ELECTION_TIMEOUT: u64 = 5;
 
-/// How far another voter is, as the leader knows it.
+/// Replication progress of another voter, as known to the leader.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Progress {
     next_index: u64,
     match_index: u64,
-    /// The last heartbeat that it has answered.
+    /// The last heartbeat round that the voter has answered.
     acked_round: u64,
     last_contact_at: Micros,
 }
 
-/// Random numbers for election timeouts; states that differ in them only are the same to a model checker.
+/// Random numbers for election timeouts. All values compare equal and hash alike, so that a model checker treats states
+/// that differ only in them as one.
 #[derive(Clone, Debug)]
 struct TimeoutRng(Pcg64Mcg);
 
@@ -83,45 +88,46 @@
     fn hash<H: Hasher>(&self, _: &mut H) {}
 }
 
-/// Where the log ended with a write that is not done yet.
+/// A requested write that is not complete, with the last index of the log after it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct PendingWrite {
     number: u64,
     last_index: u64,
 }
 
-/// A message that may leave once a write is done.
+/// A message to be sent once a write is complete.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct DelayedMessage {
     write: u64,
     message: Message,
 }
 
-/// A confirmation of leadership that needs answers to a heartbeat from a majority.
+/// A leadership confirmation that waits until a majority has answered a heartbeat round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct PendingRead {
     round: u64,
     ticket: u64,
 }
 
-/// Takes the first of a queue, where it satisfies the predicate.
+/// Removes and returns the first element of a queue if it satisfies the predicate.
 fn pop_front_if<T>(queue: &mut VecDeque<T>, predicate: impl Fn(&T) -> bool) -> Option<T> {
     if queue.front().is_some_and(predicate) { queue.pop_front() } else { None }
 }
 
-/// One voter.
+/// The state of one voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voter {
     config: Config,
     rng: TimeoutRng,
     hard_state: HardState,
     log: Log,
-    /// It votes for nobody whose log ends before this position.
+    /// The voter grants no vote to a candidate whose log ends before this position.
     promised: LogPosition,
     incarnation: Incarnation,
-    /// `Some` until it has rejoined.
+    /// `Some` until the voter has rejoined.
     rejoin: Option<RejoinState>,
-    /// What each other voter holds, where nobody leads and this one is behind its promise.
+    /// The last log position of each other voter, collected while there is no leader and this voter's log ends before
+    /// `promised`.
     peer_log_positions: BTreeMap<MemberId, LogPosition>,
     is_read_only: bool,
     role: Role,
@@ -129,26 +135,28 @@
     leader_contact_at: Micros,
     election_deadline: Micros,
     commit_index: u64,
-    /// Who has voted for it, while it is a candidate or pre-candidate.
+    /// The voters that have granted a vote or pre-vote, while this voter is a candidate or pre-candidate.
     votes: Vec<MemberId>,
-    /// The others' progress, while it leads.
+    /// Replication progress of the other voters, while this voter leads.
     progress: BTreeMap<MemberId, Progress>,
-    /// The highest term and index heard of each other voter, to remind it of.
+    /// The highest term and index seen from each other voter. Reported to a voter that rejoins, so that it can detect
+    /// lost state.
     remembered: BTreeMap<MemberId, LogPosition>,
     heartbeat_round: u64,
     pending_reads: VecDeque<PendingRead>,
-    /// Number of the last write that was requested, and of the last that is done.
+    /// Number of the last write that was requested.
     last_write: u64,
+    /// Number of the last write that is complete.
     last_completed_write: u64,
     pending_writes: VecDeque<PendingWrite>,
-    /// Up to where the log is on disk.
+    /// The last index up to which the log is on disk.
     durable_index: u64,
     delayed_messages: VecDeque<DelayedMessage>,
     compaction_requested: bool,
 }
 
 impl Voter {
-    /// A voter that has just started, with what its disk held. `seed` is for its election timeouts.
+    /// Creates a voter from the state recovered from its disk. `seed` seeds the randomization of its election timeouts.
     pub fn new(
         now: Micros,
         config: Config,
@@ -197,7 +205,7 @@
         voter
     }
 
-    /// Restores the state machine from the snapshot on disk, if there is one.
+    /// Requests that the state machine be restored from the snapshot on disk, if there is one.
     fn restore_state(&self, actions: &mut Vec<Action>) {
         if self.log.state().is_empty() {
             return;
@@ -206,17 +214,17 @@
         actions.push(Action::Restore { index: self.commit_index, state });
     }
 
-    /// More than half of the voters.
+    /// The smallest number of voters that is more than half of them.
     pub fn majority(&self) -> usize {
         self.config.voters.len() / 2 + 1
     }
 
-    /// Its role.
+    /// The current role.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// Whether it takes part.
+    /// Whether the voter takes part in the protocol.
     pub fn status(&self) -> VoterStatus {
         if self.is_read_only {
             VoterStatus::ReadOnly
@@ -227,41 +235,43 @@
         }
     }
 
-    /// Its term.
+    /// The current term.
     pub fn term(&self) -> u64 {
         self.hard_state.term
     }
 
-    /// Who leads, as far as it knows.
+    /// The leader of the current term, if known.
     pub fn leader(&self) -> Option<&MemberId> {
         if self.role == Role::Leader { Some(&self.config.id) } else { self.leader.as_ref() }
     }
 
-    /// The last index that is known to be committed.
+    /// The highest index known to be committed.
     pub fn commit_index(&self) -> u64 {
         self.commit_index
     }
 
-    /// The log's last index.
+    /// The last index in the log.
     pub fn last_index(&self) -> u64 {
         self.log.last().index
     }
 
-    /// Whether it leads, and the others that were heard within an election timeout are a majority with it.
+    /// Whether this voter leads and has received responses from a majority (counting itself) within an election
+    /// timeout.
     pub fn has_active_majority(&self, now: Micros) -> bool {
         let timeout = self.config.election_timeout;
-        let is_heard = |progress: &&Progress| now.saturating_sub(progress.last_contact_at) < timeout;
-        self.role == Role::Leader && self.progress.values().filter(is_heard).count() + 1 >= self.majority()
+        let is_active = |progress: &&Progress| now.saturating_sub(progress.last_contact_at) < timeout;
+        self.role == Role::Leader && self.progress.values().filter(is_active).count() + 1 >= self.majority()
     }
 
-    /// Whether a leader was heard of late, or this voter is one that hears a majority.
+    /// Whether the voter is voting and either leads with an active majority or had contact with a leader within two
+    /// election timeouts.
     pub fn is_connected_to_majority(&self, now: Micros) -> bool {
         let is_recent = now.saturating_sub(self.leader_contact_at) < self.config.election_timeout * 2;
         let follows = self.leader.is_some() && is_recent;
         self.status() == VoterStatus::Voting && (self.has_active_majority(now) || follows)
     }
 
-    /// When it wants the next tick.
+    /// The time at which the next call of [`Voter::tick`] is due.
     pub fn next_deadline(&self, now: Micros) -> Micros {
         let heartbeat = now + self.config.election_timeout / HEARTBEATS_PER_ELECTION_TIMEOUT;
         match self.role {
@@ -272,7 +282,7 @@
         }
     }
 
-    /// Runs the timers that are due.
+    /// Handles the timers that are due.
     pub fn tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if self.is_read_only {
             return;
@@ -292,7 +302,7 @@
         }
     }
 
-    /// Handles a message.
+    /// Handles a message from another voter.
     pub fn step(&mut self, now: Micros, message: Message, actions: &mut Vec<Action>) {
         let is_peer = self.config.voters.contains(&message.from) && message.from != self.config.id;
         if !is_peer || message.to != self.config.id || self.is_read_only {
@@ -300,7 +310,7 @@
         }
         let Message { from, term, incarnations, body, .. } = message;
         if !self.handle_incarnations(now, &from, &incarnations, actions) {
-            return; // of an earlier incarnation of its sender
+            return; // sent by an outdated incarnation
         }
         let is_pre_vote_request = matches!(body, MessageBody::RequestVote { is_pre_vote: true, .. });
         let remembered = self.remembered.entry(from.clone()).or_default();
@@ -317,9 +327,10 @@
         if self.rejoin.is_some() {
             return;
         }
-        // Who hears a leader helps nobody to unseat it: one that comes back from a cut or a stop knows less than the others.
-        let asks_for_vote = matches!(body, MessageBody::RequestVote { .. });
-        if asks_for_vote && self.config.checks.pre_vote && self.has_leader(now) {
+        // A voter in contact with a leader ignores vote requests: a voter that returns from a partition or a pause
+        // lacks newer information and must not depose a working leader.
+        let is_vote_request = matches!(body, MessageBody::RequestVote { .. });
+        if is_vote_request && self.config.checks.pre_vote && self.has_leader(now) {
             return;
         }
         let is_pre_vote_granted =
@@ -352,7 +363,7 @@
                 }
             }
             MessageBody::AppendEntries { .. } | MessageBody::InstallSnapshot { .. } if is_stale => {
-                // So that it hears of the later term.
+                // The response tells the outdated leader the later term.
                 let response = MessageBody::AppendResponse { matches: false, index: 0, round: 0 };
                 self.send(&from, response, actions);
             }
@@ -373,7 +384,7 @@
         }
     }
 
-    /// The disk has done all writes up to this number.
+    /// Handles the report that all writes up to this number are on disk.
     pub fn handle_write_completed(&mut self, now: Micros, number: u64, actions: &mut Vec<Action>) {
         if self.is_read_only {
             return;
@@ -393,7 +404,8 @@
         }
     }
 
-    /// The disk fails: nothing that it was asked to keep is known to be kept, and it is not asked again.
+    /// Handles a disk failure: it is unknown whether any pending write was persisted, so the voter becomes read-only
+    /// and requests no further writes.
     pub fn handle_disk_failure(&mut self, actions: &mut Vec<Action>) {
         if !self.is_read_only {
             self.become_follower(None, actions);
@@ -402,17 +414,17 @@
         }
     }
 
-    fn others(&self) -> Vec<MemberId> {
+    fn other_voters(&self) -> Vec<MemberId> {
         self.config.voters.iter().filter(|voter| **voter != self.config.id).cloned().collect()
     }
 
-    /// The next election starts after a random time of one to two election timeouts.
+    /// Sets the election deadline to a random time of one to two election timeouts from now.
     fn reset_election_deadline(&mut self, now: Micros) {
         let timeout = self.config.election_timeout;
         self.election_deadline = now + timeout + self.rng.0.next_u64() % timeout.max(1);
     }
 
-    /// Requests a write; promises that are sent later rest on it.
+    /// Requests a write. Messages passed to `send_when_durable` from now on are delayed until it is complete.
     fn write(&mut self, records: Vec<LogRecord>, actions: &mut Vec<Action>) {
         self.last_write += 1;
         let last_index = self.log.last().index;
@@ -425,24 +437,25 @@
         self.write(vec![LogRecord::HardState(hard_state)], actions);
     }
 
-    /// Whether all requested writes are on disk.
+    /// Whether all requested writes are on disk, or messages do not wait for the disk
+    /// ([`SafetyChecks::durable_before_send`]).
     fn is_durable(&self) -> bool {
         self.last_completed_write >= self.last_write || !self.config.checks.durable_before_send
     }
 
-    fn message(&self, to: &MemberId, term: u64, body: MessageBody) -> Message {
+    fn build_message(&self, to: &MemberId, term: u64, body: MessageBody) -> Message {
         let incarnations = self.hard_state.incarnations.clone();
         Message { from: self.config.id.clone(), to: to.clone(), term, incarnations, body }
     }
 
-    /// Sends what promises nothing.
+    /// Sends a message that contains no promise, without waiting for the disk.
     fn send(&self, to: &MemberId, body: MessageBody, actions: &mut Vec<Action>) {
-        actions.push(Action::Send(self.message(to, self.hard_state.term, body)));
+        actions.push(Action::Send(self.build_message(to, self.hard_state.term, body)));
     }
 
-    /// Sends a promise, once all writes requested so far are done.
+    /// Sends a message that contains a promise once all writes requested so far are complete.
     fn send_when_durable(&mut self, to: &MemberId, body: MessageBody, actions: &mut Vec<Action>) {
-        let message = self.message(to, self.hard_state.term, body);
+        let message = self.build_message(to, self.hard_state.term, body);
         if self.is_durable() {
             actions.push(Action::Send(message));
         } else if self.delayed_messages.len() < MAX_DELAYED_MESSAGES {
--- a/crates/fleet/src/quorum/rejoin.rs
+++ b/crates/fleet/src/quorum/rejoin.rs
@@ -1,15 +1,19 @@
-//! Rejoin: how a voter that has started takes part again.
+//! Rejoin: the protocol by which a voter takes part again after a start.
 //!
-//! It takes a new incarnation and sends a rejoin request. Each other voter records the incarnation, on disk, and answers how far
-//! it is itself. The voter has rejoined once answers to its present incarnation have come from a majority of voters that have
-//! rejoined themselves, not counting itself, or from all others.
+//! The voter takes a new incarnation and sends a rejoin request. Each other voter records the incarnation on disk and
+//! answers with its own log positions. The voter has rejoined once its current incarnation has answers either from as
+//! many voters as a majority, not counting itself, that have rejoined themselves, or from all other voters.
 //!
-//! Why that is enough: whatever an earlier incarnation of it had a part in was held by a majority with it, and each such majority
-//! has, besides it, a member among those that answered. Either that member held its part before it answered, and then the answer
-//! says so; or it came to hold it afterwards, and then the message that says so carries the new incarnation, by which the leader
-//! or candidate drops what the earlier one had promised. The second way is for a fleet that starts as a whole: with all
-//! others, one that did not forget is among them as long as those that did are a minority; for the same reason the furthest log
-//! among all is far enough then. A promise that only logs were behind which have gone since is lowered in that way too.
+//! Why this is safe: every vote and every acknowledgement of an earlier incarnation that took effect was part of a
+//! majority, and each such majority contains, besides this voter, at least one of the voters that answered. If that
+//! voter had given its own vote or acknowledgement before it answered, the answer reports it. If it gave it later, its
+//! message carries the new incarnation, and the leader or candidate that receives it discards the promises of the
+//! earlier one.
+//!
+//! Answers from all other voters suffice so that a fleet in which all voters start at once can resume. As long as only
+//! a minority has lost state, at least one of the others has not; for the same reason the highest log end among all
+//! voters is then a sufficient promise. This also lowers a promised position for which no voter holds the entries any
+//! more.
 
 use std::collections::BTreeMap;
 
@@ -19,24 +23,24 @@
 use crate::Micros;
 use crate::member::MemberId;
 
-/// Rejoin requests in an election timeout.
+/// Number of rejoin requests per election timeout.
 const REQUESTS_PER_ELECTION_TIMEOUT: u64 = 4;
 
-/// The answers to rejoin requests so far.
+/// The answers received to rejoin requests so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RejoinState {
-    /// Who has answered, and whether it has rejoined itself.
+    /// The voters that have answered, and whether each has rejoined itself.
     pub responses: BTreeMap<MemberId, bool>,
-    /// The highest term of an answer.
+    /// The highest term in an answer.
     pub term: u64,
-    /// The furthest position of an answer, held or promised.
+    /// The highest position in an answer, held or promised.
     pub promised: LogPosition,
-    /// The furthest position that is held.
+    /// The highest log end in an answer.
     pub held: LogPosition,
 }
 
 impl Voter {
-    /// Takes an incarnation above every known one, and starts to ask.
+    /// Takes an incarnation number above every known one of this voter and starts to send rejoin requests.
     pub(super) fn start_rejoin(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.become_follower(None, actions);
         let known = self.hard_state.incarnations.get(&self.config.id).map_or(0, |known| known.number);
@@ -57,14 +61,15 @@
         self.request_log_positions(actions);
     }
 
-    /// Asks all others what they hold: at a rejoin, or where nobody leads and this voter may have promised more than it holds.
+    /// Requests the log positions of all other voters: during a rejoin, or while there is no leader and the log of this
+    /// voter ends before `promised`.
     pub(super) fn request_log_positions(&mut self, actions: &mut Vec<Action>) {
-        for to in self.others() {
+        for to in self.other_voters() {
             self.send_when_durable(&to, MessageBody::RejoinRequest, actions);
         }
     }
 
-    /// Takes the incarnations that a message carries; false: it is of an earlier incarnation of its sender.
+    /// Records the incarnations in a message. Returns false if an outdated incarnation of the sender sent it.
     pub(super) fn handle_incarnations(
         &mut self,
         now: Micros,
@@ -84,7 +89,8 @@
             has_changed = true;
             self.hard_state.incarnations.insert(id.clone(), *incarnation);
             if *id == self.config.id {
-                // A later start of this voter was heard of: one that ran beside or after the folder's copy.
+                // The message contains a later incarnation of this voter: another process runs or ran under the same
+                // id, or the folder is a copy from before that start.
                 actions.push(Action::Notify(Event::DuplicateId(*incarnation)));
                 self.start_rejoin(now, actions);
             } else {
@@ -97,7 +103,7 @@
         incarnations.get(from) == self.hard_state.incarnations.get(from)
     }
 
-    /// Nothing that an earlier incarnation of a voter promised counts any more.
+    /// Discards the votes and acknowledgements of earlier incarnations of a voter.
     fn discard_promises_of(&mut self, id: &MemberId) {
         if self.role != Role::Leader {
             self.votes.retain(|voter| voter != id);
@@ -108,7 +114,7 @@
         }
     }
 
-    /// Answers a voter that has started; its incarnation is recorded by now.
+    /// Answers a rejoin request. The incarnation of the sender is already recorded.
     pub(super) fn handle_rejoin_request(&mut self, to: &MemberId, actions: &mut Vec<Action>) {
         let response = MessageBody::RejoinResponse {
             promised: self.log.last().max(self.promised),
@@ -144,7 +150,8 @@
         self.finish_rejoin(now, actions);
     }
 
-    /// Where nobody leads: once all others have said what they hold, a promise that none of them holds is lowered.
+    /// Records the log end of another voter while there is no leader. Once all others have answered, lowers the
+    /// promised position to the highest log end, because no voter holds the entries beyond it.
     fn handle_log_position(&mut self, from: MemberId, last: LogPosition) {
         let own = self.log.last();
         if own >= self.promised {
@@ -152,13 +159,13 @@
         }
         self.peer_log_positions.insert(from, last);
         if self.peer_log_positions.len() == self.config.voters.len() - 1 {
-            let furthest = self.peer_log_positions.values().copied().fold(own, LogPosition::max);
-            self.promised = self.promised.min(furthest);
+            let highest = self.peer_log_positions.values().copied().fold(own, LogPosition::max);
+            self.promised = self.promised.min(highest);
             self.peer_log_positions.clear();
         }
     }
 
-    /// Takes part again, if enough others have answered.
+    /// Completes the rejoin if enough other voters have answered.
     fn finish_rejoin(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let Some(rejoin) = &self.rejoin else { return };
         let rejoined = rejoin.responses.values().filter(|has_rejoined| **has_rejoined).count();
@@ -169,7 +176,8 @@
         let (term, promised, held) = (rejoin.term, rejoin.promised, rejoin.held);
         self.rejoin = None;
         self.promised = if is_complete { self.log.last().max(held) } else { self.promised.max(promised) };
-        // It may have voted in the highest term that any of them knows.
+        // An earlier incarnation may have voted in the highest term that any of them knows. Recording a vote for itself
+        // prevents a second vote for another candidate in that term.
         if term >= self.hard_state.term {
             self.hard_state.term = term;
             self.hard_state.voted_for = Some(self.config.id.clone());
--- a/crates/fleet/src/quorum/replicate.rs
+++ b/crates/fleet/src/quorum/replicate.rs
@@ -1,4 +1,4 @@
-//! Replication: the log from the leader to the others, what is committed, and whether a leader still leads.
+//! Log replication from the leader to the followers, commitment, and confirmation of leadership.
 
 use super::log::Log;
 use super::{
@@ -9,7 +9,7 @@
 use crate::Micros;
 use crate::member::MemberId;
 
-/// Beyond this many times `MAX_LOG_LENGTH` no commands are taken until the log is compacted.
+/// When the log reaches this multiple of `MAX_LOG_LENGTH`, commands are rejected until the log is compacted.
 const MAX_LOG_OVERRUN: u64 = 4;
 
 impl Voter {
@@ -27,10 +27,11 @@
         }
     }
 
-    /// Takes a command, where this voter leads, and returns the position that it will have if it is committed in this term.
+    /// Appends a command to the log if this voter leads, and returns the position at which it will be committed if this
+    /// voter remains the leader.
     ///
     /// # Errors
-    /// Where this voter does not lead, the command is too long, or too many are uncommitted.
+    /// Fails if this voter does not lead, the command is too long, or too many commands are uncommitted.
     pub fn propose(
         &mut self,
         command: Command,
@@ -47,16 +48,17 @@
             return Err(ProposeError::Busy);
         }
         self.append_command(Some(command), actions);
-        for to in self.others() {
+        for to in self.other_voters() {
             self.send_entries(&to, actions);
         }
         Ok(self.log.last())
     }
 
-    /// Asks whether this voter leads, in truth and not in its belief: the answer comes as
-    /// [`Action::LeadershipConfirmed`] with this ticket. Returns false if it does not lead, as far as it knows.
+    /// Starts a confirmation by a majority that this voter still leads. The result is [`Action::LeadershipConfirmed`]
+    /// or [`Action::LeadershipUnconfirmed`] with this ticket. Returns false if this voter is not the leader as far as
+    /// it knows, has not committed an entry in its term, or has too many pending confirmations.
     pub fn confirm_leadership(&mut self, ticket: u64, actions: &mut Vec<Action>) -> bool {
-        // Before it has committed something of its own it may not know what is committed.
+        // Until a leader has committed an entry of its own term, its commit index may be outdated.
         let has_committed = self.log.term_at(self.commit_index) == Some(self.hard_state.term);
         if self.role != Role::Leader || !has_committed || self.pending_reads.len() >= MAX_PENDING_READS {
             return false;
@@ -66,10 +68,10 @@
         true
     }
 
-    /// Sends a heartbeat to all, with the entries that each lacks.
+    /// Sends a heartbeat to each other voter, with the entries that it lacks.
     pub fn send_heartbeats(&mut self, actions: &mut Vec<Action>) {
         self.heartbeat_round += 1;
-        for to in self.others() {
+        for to in self.other_voters() {
             self.send_entries(&to, actions);
         }
     }
@@ -82,7 +84,8 @@
             return self.send(to, MessageBody::InstallSnapshot { last, state, round }, actions);
         };
         let entries = self.log.entries_from(next, MAX_ENTRIES_PER_MESSAGE);
-        // The next message goes on behind these; a lost one is found by the answer to that.
+        // The next message continues after these entries. If this one is lost, the rejection of the next one reveals
+        // it.
         let sent_up_to = next + entries.len() as u64;
         if let Some(progress) = self.progress.get_mut(to) {
             progress.next_index = sent_up_to;
@@ -101,7 +104,7 @@
         actions: &mut Vec<Action>,
     ) {
         let base = self.log.base().index;
-        // What the snapshot holds is committed, and so the same.
+        // Entries included in the snapshot are committed and therefore match those of the leader.
         let is_known = prev.index < base || self.log.term_at(prev.index) == Some(prev.term);
         if !is_known {
             let index = self.log.last().index.min(prev.index.saturating_sub(1));
@@ -119,7 +122,7 @@
         self.send_when_durable(from, response, actions);
     }
 
-    /// Puts the leader's entries into the log, from an index on, and returns the records to write.
+    /// Merges the leader's entries into the log, starting at index `first`, and returns the records to write.
     fn merge_entries(&mut self, first: u64, entries: Vec<Entry>) -> Vec<LogRecord> {
         let base = self.log.base().index;
         let mut records = Vec::new();
@@ -136,7 +139,7 @@
         records
     }
 
-    /// Drops all entries from an index on.
+    /// Removes all log entries from an index on.
     fn truncate_log(&mut self, index: u64) {
         self.log.truncate(index);
         self.durable_index = self.durable_index.min(index - 1);
@@ -154,7 +157,8 @@
         actions: &mut Vec<Action>,
     ) {
         if last.index > self.commit_index {
-            // What it holds behind the position may be acknowledged: a snapshot that comes late voids none of it.
+            // Entries after the snapshot may have been acknowledged, so a late snapshot must not remove them if the log
+            // contains its position.
             let replaces_log = self.log.position(last.index) != Some(last);
             if replaces_log {
                 self.log = Log::from_snapshot(last, state.clone());
@@ -198,13 +202,13 @@
         self.confirm_pending_reads(actions);
     }
 
-    /// Commits what a majority holds.
+    /// Commits the entries that a majority holds.
     pub(super) fn advance_commit(&mut self, actions: &mut Vec<Action>) {
         let waits_for_disk = self.config.checks.durable_before_send;
         let own = if waits_for_disk { self.durable_index } else { self.log.last().index };
         let matched = self.progress.values().map(|progress| progress.match_index);
-        let index = self.held_by_majority(matched.chain([own]).collect());
-        // Only entries of its own term are committed by counting (Raft, figure 8).
+        let index = self.reached_by_majority(matched.chain([own]).collect());
+        // Only entries of the current term are committed by counting replicas (Raft, figure 8).
         if index > self.commit_index && self.log.term_at(index) == Some(self.hard_state.term) {
             self.apply_up_to(index, actions);
         }
@@ -212,14 +216,14 @@
 
     fn confirm_pending_reads(&mut self, actions: &mut Vec<Action>) {
         let acked = self.progress.values().map(|progress| progress.acked_round);
-        let round = self.held_by_majority(acked.chain([self.heartbeat_round]).collect());
+        let round = self.reached_by_majority(acked.chain([self.heartbeat_round]).collect());
         while let Some(read) = pop_front_if(&mut self.pending_reads, |read| read.round <= round) {
             actions.push(Action::LeadershipConfirmed { ticket: read.ticket });
         }
     }
 
-    /// The highest number that a majority of the voters has reached; one number a voter.
-    fn held_by_majority(&self, mut numbers: Vec<u64>) -> u64 {
+    /// The highest number that a majority of the voters has reached, given one number per voter.
+    fn reached_by_majority(&self, mut numbers: Vec<u64>) -> u64 {
         numbers.sort_unstable_by(|a, b| b.cmp(a));
         numbers[self.majority() - 1]
     }
@@ -234,7 +238,8 @@
         }
     }
 
-    /// Takes the state machine's state up to an index that it has applied: what the log holds up to there is dropped.
+    /// Replaces the log entries up to `index` by a snapshot of the state machine, which must have applied exactly the
+    /// entries up to that index. Does nothing if the index is not committed or no longer in the log.
     pub fn compact(&mut self, index: u64, state: Vec<u8>, actions: &mut Vec<Action>) {
         self.compaction_requested = false;
         let committed = self.log.position(index).filter(|position| position.index <= self.commit_index);
--- a/crates/fleet/src/quorum/types.rs
+++ b/crates/fleet/src/quorum/types.rs
@@ -1,5 +1,5 @@
-//! What voters send, keep and are started with. The order of fields and variants is the format of messages and of the
-//! write-ahead log; it never changes.
+//! Messages, log records, configuration and actions of a voter. The order of fields and variants determines the format
+//! of messages and of the write-ahead log and must not change.
 
 use std::collections::BTreeMap;
 
@@ -9,74 +9,76 @@
 use crate::Micros;
 use crate::member::MemberId;
 
-/// A position in the log: the later term is further, and in one term the higher index.
+/// A position in the log, ordered by term and then by index.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LogPosition {
-    /// The entry's term.
+    /// The term of the entry.
     pub term: u64,
-    /// Its index; the first entry has 1.
+    /// The index of the entry; the first entry has index 1.
     pub index: u64,
 }
 
-/// One start of a voter's process: the number grows from one to the next, the nonce distinguishes two that took the same number.
+/// Identifies one start of a voter's process. The number increases with each start; the nonce distinguishes two starts
+/// that took the same number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation {
-    /// Above that of every earlier start that was heard of.
+    /// Higher than the number of every known earlier start.
     pub number: u64,
-    /// Drawn anew at each start.
+    /// A random number generated at each start.
     pub nonce: u64,
 }
 
-/// A client's command: carried out at most once, by session and sequence number.
+/// A client's command. The session and sequence number ensure that it takes effect at most once.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Command {
-    /// The client's session, one a start.
+    /// The client's session; each start of a client has its own.
     pub session: u64,
-    /// Its number there, growing.
+    /// The sequence number within the session; it increases with each command.
     pub seq: u64,
-    /// What is to be done; the log does not read it.
+    /// The operation for the state machine; opaque to the log.
     pub body: Vec<u8>,
 }
 
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// The term of the leader that took it.
+    /// The term of the leader that appended the entry.
     pub term: u64,
-    /// `None`: a leader's first entry, by which it learns what is committed.
+    /// `None` in the first entry of a new leader. By committing it the leader learns the commit index.
     pub command: Option<Command>,
 }
 
-/// What a voter has to remember besides its log.
+/// The persistent state of a voter besides its log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct HardState {
-    /// The highest term that it took part in.
+    /// The highest known term.
     pub term: u64,
-    /// Whom it voted for in that term.
+    /// The voter that received its vote in that term.
     pub voted_for: Option<MemberId>,
-    /// The latest incarnation of each voter that it knows.
+    /// The latest known incarnation of each voter.
     pub incarnations: BTreeMap<MemberId, Incarnation>,
 }
 
-/// A record of the write-ahead log. Records are written in order; a write is done when all of its records are on disk.
+/// A record of the write-ahead log. Records are written in order; a write is complete when all of its records are on
+/// disk.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum LogRecord {
-    /// Replaces the hard state before.
+    /// Replaces the previous hard state.
     HardState(HardState),
-    /// An entry. Whatever was at its index or behind is void.
+    /// A log entry. Replaces any entry at its index and removes all later entries.
     Entry {
-        /// Its index.
+        /// The index of the entry.
         index: u64,
         /// The entry.
         entry: Entry,
     },
-    /// The state machine's state. What the log held up to `last` is void.
+    /// A snapshot of the state machine. Replaces the log entries up to `last`.
     Snapshot {
-        /// The last position that the state includes.
+        /// The last position included in the snapshot.
         last: LogPosition,
-        /// The state.
+        /// The serialized state.
         state: Vec<u8>,
-        /// Entries behind `last` are void too.
+        /// Whether the entries after `last` are removed too.
         replaces_log: bool,
     },
 }
@@ -88,87 +90,88 @@
     pub from: MemberId,
     /// The receiver.
     pub to: MemberId,
-    /// The sender's term; in a pre-vote request the term that it would begin.
+    /// The sender's term. In a pre-vote request and its grant, the term that the candidate would start.
     pub term: u64,
-    /// The latest incarnations that the sender knows, its own among them.
+    /// The latest incarnations known to the sender, including its own.
     pub incarnations: BTreeMap<MemberId, Incarnation>,
-    /// What it says.
+    /// The content.
     pub body: MessageBody,
 }
 
-/// What a message says.
+/// The content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum MessageBody {
-    /// Asks for a vote.
+    /// Requests a vote.
     RequestVote {
-        /// A pre-vote: asks only whether the vote would be given, and nothing is promised.
+        /// Whether this is a pre-vote, which only asks if the vote would be granted and binds nobody.
         is_pre_vote: bool,
-        /// The end of the sender's log.
+        /// The last position in the sender's log.
         last: LogPosition,
     },
     /// Answers `RequestVote`.
     VoteResponse {
-        /// Which of the two questions is answered.
+        /// Whether a pre-vote request is answered.
         is_pre_vote: bool,
-        /// The vote is given.
+        /// Whether the vote is granted.
         granted: bool,
     },
-    /// The leader's entries, or none: a heartbeat.
+    /// Replicates entries of the leader's log. Without entries it is a heartbeat.
     AppendEntries {
-        /// The position before them.
+        /// The position directly before the entries.
         prev: LogPosition,
         /// The entries.
         entries: Vec<Entry>,
         /// The leader's commit index.
         commit: u64,
-        /// Counts the leader's heartbeats.
+        /// The number of the leader's heartbeat round.
         round: u64,
     },
-    /// The state up to a position, for a voter that is further behind than the leader's log reaches.
+    /// A snapshot, for a voter that lacks entries that the leader's log no longer contains.
     InstallSnapshot {
-        /// The position.
+        /// The last position included in the snapshot.
         last: LogPosition,
-        /// The state machine's state.
+        /// The serialized state of the state machine.
         state: Vec<u8>,
-        /// Counts the leader's heartbeats.
+        /// The number of the leader's heartbeat round.
         round: u64,
     },
     /// Answers `AppendEntries` and `InstallSnapshot`.
     AppendResponse {
-        /// The sender's log is the leader's up to `index`; else it reaches only so far.
+        /// Whether the sender's log matches the leader's up to `index`.
         matches: bool,
-        /// The index.
+        /// The last matching index; if `matches` is false, an index after which the leader should resume.
         index: u64,
-        /// The heartbeat that is answered.
+        /// The heartbeat round that is answered.
         round: u64,
     },
-    /// A voter has started and asks how far the others are.
+    /// Requests the log positions of another voter, after a start or while there is no leader.
     RejoinRequest,
     /// Answers `RejoinRequest`.
     RejoinResponse {
-        /// The furthest position that the sender holds or has promised.
+        /// The highest position that the sender holds or has promised.
         promised: LogPosition,
-        /// The end of its log.
+        /// The last position in the sender's log.
         last: LogPosition,
-        /// It has rejoined itself.
+        /// Whether the sender has rejoined itself.
         has_rejoined: bool,
-        /// The highest term and index that it has heard of the asker.
+        /// The highest term and index that the sender has seen from the requesting voter.
         remembered: LogPosition,
     },
 }
 
-/// Parts of the protocol that tests take out, so that the checkers are seen to need them. All are in force otherwise.
+/// Parts of the protocol that tests can disable to verify that the checkers then detect violations. All are enabled by
+/// default.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct SafetyChecks {
-    /// A voter asks before it raises its term, and nobody answers who hears a leader.
+    /// A voter requests pre-votes before it raises its term, and voters in contact with a leader ignore vote requests.
     pub pre_vote: bool,
-    /// A leader that does not hear a majority steps down.
+    /// A leader without contact with a majority steps down.
     pub check_quorum: bool,
-    /// Each start goes through the rejoin protocol.
+    /// A voter runs the rejoin protocol at each start.
     pub rejoin: bool,
-    /// What an earlier incarnation promised counts no more.
+    /// Promises of earlier incarnations are void.
     pub incarnations: bool,
-    /// A promise is sent only once it is on disk.
+    /// A message that contains a promise is sent only once the promise is on disk.
     pub durable_before_send: bool,
 }
 
@@ -184,63 +187,65 @@
     }
 }
 
-/// What a voter is started with.
+/// The configuration of a voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Config {
-    /// Its id.
+    /// The id of this voter.
     pub id: MemberId,
-    /// All voters, itself among them.
+    /// The ids of all voters, including this one.
     pub voters: Vec<MemberId>,
-    /// A voter that hears no leader for so long, and up to twice as long, asks for votes.
+    /// A voter without contact with a leader requests votes after a random time of one to two election timeouts.
     pub election_timeout: Micros,
-    /// Drawn anew at each start.
+    /// A random number generated at each start.
     pub nonce: u64,
-    /// A folder that is there and intact is believed: the voter takes part at once, and an older copy put back is not noticed.
+    /// Whether the voter skips the rejoin if its folder is present and intact. An older copy of the folder that was put
+    /// back is then not detected.
     pub trust_disk: bool,
-    /// What is in force.
+    /// The enabled parts of the protocol.
     pub checks: SafetyChecks,
 }
 
-/// What the disk held at the start.
+/// The state recovered from the disk at the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RecoveredState {
     /// Term, vote and incarnations.
     pub hard_state: HardState,
     /// The log.
     pub log: Log,
-    /// The furthest position that is known to have been there, also where it cannot be read any more.
+    /// The highest position known to have been on disk, even if its record is no longer readable.
     pub promised: LogPosition,
-    /// Something was there, and all of it was readable.
+    /// Whether the disk held data and all of it was readable.
     pub is_intact: bool,
 }
 
 /// A voter's role in its term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Role {
-    /// Follows a leader, or waits for one.
+    /// Follows a leader or waits for one.
     Follower,
-    /// Asks who would vote for it.
+    /// Requests pre-votes.
     PreCandidate,
-    /// Asks for votes.
+    /// Requests votes.
     Candidate,
-    /// Leads.
+    /// Replicates its log to the followers.
     Leader,
 }
 
-/// Whether a voter takes part.
+/// Whether a voter takes part in the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum VoterStatus {
-    /// It takes part.
+    /// The voter takes part.
     Voting,
-    /// It may have forgotten what it promised: it has not rejoined since its start, or has not caught up with the furthest
-    /// position that it was told then. Until it has caught up it leads nobody, and votes only for who has.
+    /// The voter may have lost promises: it has not rejoined since its start, or its log ends before the highest
+    /// position reported during the rejoin. Until its log reaches that position it cannot lead, and votes only for
+    /// candidates whose log does.
     CatchingUp,
-    /// Its disk fails: it takes part no more until it is started anew.
+    /// The disk has failed. The voter does not take part until it is restarted.
     ReadOnly,
 }
 
 impl VoterStatus {
-    /// The name that operators read.
+    /// The name shown to operators.
     pub fn name(self) -> &'static str {
         match self {
             VoterStatus::Voting => "voting",
@@ -250,12 +255,13 @@
     }
 }
 
-/// What the voter wants done. Actions are carried out in order.
+/// An action requested by the voter. The caller executes actions in order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Write these records, and report it by [`handle_write_completed`](super::Voter::handle_write_completed) with this number.
+    /// Write these records, then call [`handle_write_completed`](super::Voter::handle_write_completed) with this
+    /// number.
     Write {
-        /// The write's number; numbers grow.
+        /// The number of the write; it increases with each write.
         number: u64,
         /// The records.
         records: Vec<LogRecord>,
@@ -264,52 +270,52 @@
     Send(Message),
     /// Apply a committed entry to the state machine.
     Apply {
-        /// Its index.
+        /// The index of the entry.
         index: u64,
         /// The entry.
         entry: Entry,
     },
-    /// Replace the state machine's state.
+    /// Replace the state of the state machine.
     Restore {
-        /// The last index that it includes.
+        /// The last index included in the state.
         index: u64,
-        /// The state.
+        /// The serialized state.
         state: Vec<u8>,
     },
-    /// At the moment leadership was to be confirmed, and after it, this voter led.
+    /// A majority confirmed that this voter still led after the confirmation was requested.
     LeadershipConfirmed {
         /// The ticket of [`confirm_leadership`](super::Voter::confirm_leadership).
         ticket: u64,
     },
-    /// It cannot be confirmed any more: ask again, maybe another voter.
+    /// The voter stepped down before leadership was confirmed. Retry, possibly at another voter.
     LeadershipUnconfirmed {
-        /// The ticket.
+        /// The ticket of [`confirm_leadership`](super::Voter::confirm_leadership).
         ticket: u64,
     },
-    /// The log is at its bound: take a snapshot and call [`compact`](super::Voter::compact).
+    /// The log has reached its maximum length. Take a snapshot and call [`compact`](super::Voter::compact).
     Compact,
-    /// Something that operators may want to know.
+    /// Report an event to operators.
     Notify(Event),
 }
 
-/// What happened to a voter.
+/// A change in the state of a voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// It leads from now on.
+    /// The voter became the leader.
     BecameLeader {
         /// The term.
         term: u64,
     },
-    /// It follows this leader.
+    /// The voter started to follow this leader.
     FollowsLeader {
         /// The leader.
         leader: MemberId,
         /// The term.
         term: u64,
     },
-    /// It led, and does not any more.
+    /// The voter is no longer the leader.
     SteppedDown,
-    /// It has rejoined the voters after its start.
+    /// The voter has rejoined after its start.
     Rejoined,
     /// Another voter has seen a higher term or index of this voter than the disk held at the start.
     StateLost {
@@ -320,20 +326,20 @@
         /// The term and index recovered from the disk.
         recovered: LogPosition,
     },
-    /// Another process votes under this id, or did a moment ago.
+    /// Another process uses the id of this voter, or did so recently.
     DuplicateId(Incarnation),
 }
 
-/// Why a command was not taken.
+/// Why a command was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProposeError {
-    /// This voter does not lead; the one that does, where it is known.
-    #[error("this voter does not lead")]
+    /// This voter is not the leader. Contains the leader, if known.
+    #[error("this voter is not the leader")]
     NotLeader(Option<MemberId>),
-    /// Too many commands are uncommitted.
-    #[error("too many commands are uncommitted")]
+    /// Too many commands are uncommitted, or the log has to be compacted first.
+    #[error("too many uncommitted commands")]
     Busy,
-    /// It is longer than [`super::MAX_COMMAND_BYTES`].
-    #[error("the command is longer than {} bytes", super::MAX_COMMAND_BYTES)]
+    /// The command is longer than [`super::MAX_COMMAND_BYTES`].
+    #[error("command is longer than {} bytes", super::MAX_COMMAND_BYTES)]
     TooLong,
 }
