--- a/crates/fleet/src/lease/fencing.rs
+++ b/crates/fleet/src/lease/fencing.rs
@@ -1,9 +1,10 @@
-//! The fencing guard before every effect of an owner, where it is received. The receiver checks resource and token at the moment it
-//! acts: an effect of a token below the highest that it knows is not carried out, and one that has just started carries none
-//! out before a majority has told it the resource's current token, so that a receiver that forgot cannot be led by an old owner.
+//! The fencing guard, which checks every effect of an owner at its receiver. The receiver checks the resource and the
+//! token at the moment it executes the effect, and rejects a token below the highest known one. After a start it
+//! executes no effect on a resource until a majority has reported the resource's current token. Otherwise a receiver
+//! that lost its state in a restart could execute effects of an earlier owner.
 //!
-//! What an effect does is behind a type: nothing but [`FencingGuard::check`] makes a [`CheckedEffect`], and nothing else can be
-//! carried out.
+//! The types enforce the check: only [`FencingGuard::check`] creates a [`CheckedEffect`], and only a checked effect can
+//! be carried out.
 
 use std::collections::BTreeMap;
 
@@ -11,68 +12,69 @@
 
 use super::{MAX_RESOURCES, ResourceName};
 
-/// An effect as it travels.
+/// An effect as sent by an owner; not checked yet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Effect<E> {
-    /// The resource that it is for.
+    /// The resource on which the owner acts.
     pub resource: ResourceName,
-    /// The owner's token.
+    /// The owner's fencing token.
     pub token: u64,
     effect: E,
 }
 
 impl<E> Effect<E> {
-    /// An effect of a resource's owner.
+    /// Creates an effect of a resource's owner.
     pub fn new(resource: ResourceName, token: u64, effect: E) -> Effect<E> {
         Effect { resource, token, effect }
     }
 }
 
-/// An effect that may be carried out, now.
+/// An effect that has passed the fencing check and may be carried out immediately.
 #[derive(Debug)]
 pub struct CheckedEffect<E>(E);
 
 impl<E> CheckedEffect<E> {
-    /// Carries it out.
+    /// Carries out the effect by calling `act`.
     pub fn carry_out<T>(self, act: impl FnOnce(E) -> T) -> T {
         act(self.0)
     }
 }
 
-/// Why an effect is not carried out.
+/// Why an effect is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FencingError {
-    /// The current token is not known yet: ask a majority, then call [`FencingGuard::record_current_token`] and check again.
-    #[error("the resource's current token is not known yet")]
+    /// The current token is not known yet. Query a majority, call [`FencingGuard::record_current_token`] and check
+    /// again.
+    #[error("the current token of the resource is not known yet")]
     UnknownToken,
-    /// A later owner is known.
-    #[error("a later owner holds token {current}")]
+    /// A later owner with a higher token is known.
+    #[error("stale token: a later owner has token {current}")]
     StaleToken {
-        /// Its token.
+        /// The token of the later owner.
         current: u64,
     },
 }
 
-/// The tokens that a receiver knows, from its start on.
+/// The highest token per resource that a receiver has seen since its start.
 #[derive(Clone, Debug, Default)]
 pub struct FencingGuard {
     tokens: BTreeMap<ResourceName, u64>,
 }
 
 impl FencingGuard {
-    /// A majority says that this is the resource's current token, at a moment after this receiver had started.
+    /// Records the current token of a resource. It must have been confirmed by a majority after this receiver started.
     pub fn record_current_token(&mut self, resource: &ResourceName, token: u64) {
         if self.tokens.len() >= MAX_RESOURCES && !self.tokens.contains_key(resource) {
-            return; // there are no more resources than that; its effects stay unknown
+            return; // the fleet has at most MAX_RESOURCES; effects on any other resource stay rejected
         }
         let current = self.tokens.entry(resource.clone()).or_default();
         *current = token.max(*current);
     }
 
-    /// Checks an effect. Call it in the same step that carries the effect out.
+    /// Checks an effect. Must be called in the same step that carries out the effect.
     ///
     /// # Errors
-    /// Where the effect is not of the current owner, or that is not known.
+    /// Fails if the effect does not come from the current owner, or the current token is not known.
     pub fn check<E>(&mut self, effect: Effect<E>) -> Result<CheckedEffect<E>, FencingError> {
         let current = self.tokens.get_mut(&effect.resource).ok_or(FencingError::UnknownToken)?;
         if effect.token < *current {
--- a/crates/fleet/src/lease/lease_holder.rs
+++ b/crates/fleet/src/lease/lease_holder.rs
@@ -1,23 +1,25 @@
-//! A member's side of leases: which resources it may act for now, and until when. A lease is counted from before it was requested.
+//! The member's side of leases: the resources that it may use, and until when. The member counts a lease from the time
+//! at which it sent the request.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use super::{LeaseRequest, LeaseResponse, OwnedResource, ProcessId, ResourceName};
 use crate::Micros;
 
-/// Maximum number of requests that are remembered; an answer to an older one is of no use.
+/// Maximum number of unanswered requests that are tracked. With `REQUESTS_PER_LEASE` requests per lease, the lease of
+/// an older request has already expired.
 const MAX_PENDING_REQUESTS: usize = 16;
-/// Requests in a lease.
+/// Number of requests per lease duration.
 const REQUESTS_PER_LEASE: u64 = 6;
-/// Where another voter leads, the next request goes out after this part of the usual time.
+/// After a response that another voter leads, the request interval is divided by this number once.
 const RETRY_DIVISOR: u64 = 8;
 
-/// What changed for a resource.
+/// A change in the ownership of a resource.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseEvent {
-    /// This member owns it, by this token.
+    /// This member became the owner, with this token.
     Acquired(OwnedResource),
-    /// This member owns it no more: whatever was under way for it ends here.
+    /// This member is no longer the owner and must stop all work on the resource.
     Lost(OwnedResource),
 }
 
@@ -33,7 +35,7 @@
     expires_at: Micros,
 }
 
-/// The leases of a member's process, from its start on.
+/// The leases of one process of a member.
 #[derive(Clone, Debug)]
 pub struct LeaseHolder {
     process: ProcessId,
@@ -42,13 +44,13 @@
     last_number: u64,
     pending: VecDeque<PendingRequest>,
     leases: BTreeMap<ResourceName, Lease>,
-    /// Released, with their tokens; repeated until the leader knows.
+    /// Released resources with their tokens; repeated in each request until the leader confirms the release.
     released: BTreeMap<ResourceName, u64>,
     next_request_at: Micros,
 }
 
 impl LeaseHolder {
-    /// A member's process that has just started.
+    /// Creates the state of a process that has just started.
     pub fn new(now: Micros, process: ProcessId, lease: Micros) -> LeaseHolder {
         LeaseHolder {
             process,
@@ -62,12 +64,12 @@
         }
     }
 
-    /// Asks for a resource from now on.
+    /// Adds a resource to those that the member requests.
     pub fn add_wanted(&mut self, resource: ResourceName) {
         self.wanted.insert(resource);
     }
 
-    /// Wants nothing any more, and releases all: what was under way has ended.
+    /// Stops requesting resources and releases all leases. Call it after the work on the resources has ended.
     pub fn release_all(&mut self, now: Micros) -> Vec<LeaseEvent> {
         self.wanted.clear();
         self.next_request_at = now;
@@ -76,7 +78,7 @@
         leases.into_iter().map(|(resource, lease)| lost(resource, lease)).collect()
     }
 
-    /// The request that is due now, if one is.
+    /// Returns the request that is due now, if any.
     pub fn next_request(&mut self, now: Micros) -> Option<LeaseRequest> {
         if now < self.next_request_at || self.wanted.is_empty() && self.released.is_empty() {
             return None;
@@ -96,12 +98,12 @@
         })
     }
 
-    /// Another voter leads: the next request goes out soon.
+    /// Schedules the next request early, because the voter that was asked is not the leader.
     pub fn retry_soon(&mut self, now: Micros) {
         self.next_request_at = now + self.lease / REQUESTS_PER_LEASE / RETRY_DIVISOR;
     }
 
-    /// Takes an answer.
+    /// Handles a response of the leader.
     pub fn handle_response(&mut self, now: Micros, response: LeaseResponse) -> Vec<LeaseEvent> {
         let Some(sent_at) = self.take_pending(response.number) else { return Vec::new() };
         let expires_at = sent_at + self.lease;
@@ -110,47 +112,48 @@
         };
         self.released.retain(|resource, token| is_still_owned(resource, *token));
         if expires_at <= now {
-            return self.tick(now); // an answer that comes after its lease is over
+            return self.tick(now); // the lease granted by this response has already expired
         }
         let mut events = Vec::new();
         let mut leases = BTreeMap::new();
         for OwnedResource { resource, token } in response.owned {
-            // What was released is not taken up again by the same token.
+            // A released resource is not acquired again with the same token.
             if !self.wanted.contains(&resource) || self.released.contains_key(&resource) {
                 continue;
             }
-            let before = self.leases.remove(&resource);
-            if before.is_none_or(|before| before.token != token) {
-                events.extend(before.map(|before| lost(resource.clone(), before)));
+            let previous = self.leases.remove(&resource);
+            if previous.is_none_or(|previous| previous.token != token) {
+                events.extend(previous.map(|previous| lost(resource.clone(), previous)));
                 events.push(LeaseEvent::Acquired(owned(resource.clone(), token)));
             }
-            let expires_at = expires_at.max(before.map_or(0, |before| before.expires_at));
+            let expires_at = expires_at.max(previous.map_or(0, |previous| previous.expires_at));
             leases.insert(resource, Lease { token, expires_at });
         }
-        let gone = std::mem::replace(&mut self.leases, leases);
-        events.extend(gone.into_iter().map(|(resource, lease)| lost(resource, lease)));
+        let no_longer_owned = std::mem::replace(&mut self.leases, leases);
+        events.extend(no_longer_owned.into_iter().map(|(resource, lease)| lost(resource, lease)));
         events
     }
 
-    /// Forgets a request, and all before it, and returns when it was sent; `None`: it is not pending.
+    /// Removes a pending request and all earlier ones, and returns the time at which it was sent; `None` if it is not
+    /// pending.
     fn take_pending(&mut self, number: u64) -> Option<Micros> {
         let position = self.pending.iter().position(|request| request.number == number)?;
         self.pending.drain(..=position).next_back().map(|request| request.sent_at)
     }
 
-    /// The token by which it may act for a resource now.
+    /// The token with which the member may use a resource now; `None` if it has no valid lease.
     pub fn token(&self, now: Micros, resource: &ResourceName) -> Option<u64> {
         let lease = self.leases.get(resource).filter(|lease| now < lease.expires_at)?;
         Some(lease.token)
     }
 
-    /// What it owns now.
+    /// The resources with a valid lease, and their tokens.
     pub fn owned(&self, now: Micros) -> impl Iterator<Item = (&ResourceName, u64)> {
         let valid = self.leases.iter().filter(move |(_, lease)| now < lease.expires_at);
         valid.map(|(resource, lease)| (resource, lease.token))
     }
 
-    /// Gives up resources whose lease has expired.
+    /// Removes expired leases.
     pub fn tick(&mut self, now: Micros) -> Vec<LeaseEvent> {
         let mut events = Vec::new();
         self.leases.retain(|resource, lease| {
@@ -163,7 +166,7 @@
         events
     }
 
-    /// When it wants the next tick: the next request, or the end of a lease.
+    /// The time of the next request or of the next lease expiry, whichever is earlier.
     pub fn next_deadline(&self) -> Micros {
         let expiry = self.leases.values().map(|lease| lease.expires_at).min();
         expiry.unwrap_or(Micros::MAX).min(self.next_request_at)
--- a/crates/fleet/src/lease/lease_manager.rs
+++ b/crates/fleet/src/lease/lease_manager.rs
@@ -1,5 +1,6 @@
-//! The leader's side of leases: who would own what, until when a resource may be in use, and what is to be assigned or freed next.
-//! Nothing of it is kept: a new leader takes every resource that is somebody's for leased from its first moment on.
+//! The leader's side of leases: which members request which resources, until when a resource may be in use, and which
+//! resources to assign or free next. This state is not persisted: a new leader assumes that every owned resource was
+//! leased at the moment of its election.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,7 +10,8 @@
 };
 use crate::Micros;
 
-/// Maximum number of requesters that are known at a time; further ones wait until one has fallen silent.
+/// Maximum number of tracked requesters. Requests of further members are not considered until a tracked one has sent no
+/// request for the duration of a lease.
 const MAX_REQUESTERS: usize = 1_024;
 
 #[derive(Clone, Debug)]
@@ -18,31 +20,31 @@
     last_contact_at: Micros,
 }
 
-/// A change that was proposed to the log and is not applied yet.
+/// A change that is proposed to the log but not applied yet.
 #[derive(Clone, Copy, Debug)]
 struct ProposedChange {
-    /// The token before it.
+    /// The token of the resource before the change.
     expected_token: u64,
-    /// The resource is to be nobody's.
+    /// Whether the change frees the resource.
     is_release: bool,
 }
 
-/// The leader's leases, from its election on.
+/// The leases granted by a leader since its election.
 #[derive(Clone, Debug)]
 pub struct LeaseManager {
     lease: Micros,
-    /// Before this nothing that is somebody's is taken from it: an earlier leader may have leased it.
+    /// Until this time no owned resource is reassigned, because an earlier leader may have leased it.
     takeover_at: Micros,
-    /// Until when a resource is leased.
+    /// The time until which each resource is leased.
     leased_until: BTreeMap<ResourceName, Micros>,
     requesters: BTreeMap<ProcessId, Requester>,
-    /// Released by their owners, with their tokens; to be freed.
+    /// Resources released by their owners, with their tokens; still to be freed in the log.
     released: BTreeMap<ResourceName, u64>,
     proposed: BTreeMap<ResourceName, ProposedChange>,
 }
 
 impl LeaseManager {
-    /// A leader that has just been elected.
+    /// Creates the state of a newly elected leader.
     pub fn new(now: Micros, lease: Micros) -> LeaseManager {
         LeaseManager {
             lease,
@@ -54,7 +56,8 @@
         }
     }
 
-    /// Takes a request. It is answered only once a majority has confirmed, after it came, that this voter leads.
+    /// Records a request. The caller may answer it only after a majority has confirmed, since its arrival, that this
+    /// voter leads.
     pub fn handle_request(&mut self, now: Micros, request: &LeaseRequest, table: &LeaseTable) {
         let is_known = self.requesters.contains_key(&request.requester);
         if request.wanted.is_empty() {
@@ -71,12 +74,13 @@
         }
     }
 
-    /// Answers a request after leadership was confirmed; what the answer names is leased from now on.
+    /// Answers a request after leadership was confirmed. The resources in the answer are leased from now on.
     pub fn answer(&mut self, now: Micros, request: &LeaseRequest, table: &LeaseTable) -> LeaseResponse {
         let mut owned = Vec::new();
         for (resource, assignment) in table.iter() {
-            // A resource that is being reassigned is its next owner's from whenever that is committed: no lease may reach past it.
-            if assignment.owner.as_ref() != Some(&request.requester) || self.is_changing(resource) {
+            // A pending change can be committed at any time and then ends the ownership, so no lease may be granted
+            // beyond it.
+            if assignment.owner.as_ref() != Some(&request.requester) || self.has_pending_change(resource) {
                 continue;
             }
             self.leased_until.insert(resource.clone(), now + leader_lease(self.lease));
@@ -85,13 +89,13 @@
         LeaseResponse { number: request.number, owned }
     }
 
-    /// A change of the resource is proposed or will be.
-    fn is_changing(&self, resource: &ResourceName) -> bool {
+    /// Whether a change of the resource is proposed or about to be.
+    fn has_pending_change(&self, resource: &ResourceName) -> bool {
         self.proposed.contains_key(resource) || self.released.contains_key(resource)
     }
 
-    /// The changes to propose next, a bounded number at a time: released resources are freed, then those that are nobody's or
-    /// whose lease is over are assigned.
+    /// Returns the changes to propose next, at most `MAX_CHANGES_PER_COMMAND`. Released resources are freed first; then
+    /// resources without an owner or with an expired lease are assigned.
     pub fn next_changes(&mut self, now: Micros, table: &LeaseTable) -> Vec<OwnershipChange> {
         self.remove_outdated(now, table);
         let mut changes = self.release_changes();
@@ -106,7 +110,8 @@
         changes
     }
 
-    /// Forgets requesters that have fallen silent and changes that were applied or overtaken.
+    /// Removes requesters that have sent no request for the duration of a lease, and changes that were applied or
+    /// superseded.
     fn remove_outdated(&mut self, now: Micros, table: &LeaseTable) {
         let lease = self.lease;
         self.requesters.retain(|_, requester| now.saturating_sub(requester.last_contact_at) < lease);
@@ -139,19 +144,19 @@
             if changes.len() >= MAX_CHANGES_PER_COMMAND {
                 break;
             }
-            if self.is_changing(&resource) || self.is_leased(now, table, &resource) {
+            if self.has_pending_change(&resource) || self.is_leased(now, table, &resource) {
                 continue;
             }
             let Some(owner) = self.choose_owner(&resource, &load) else { continue };
             load.entry(owner.clone()).and_modify(|count| *count += 1);
-            // Time to hear of it and to request it, before it is assigned to the next.
+            // The new owner needs time to request its lease before the resource may be assigned to another member.
             self.leased_until.insert(resource.clone(), now + leader_lease(self.lease));
             let expected_token = table.token(&resource);
             changes.push(OwnershipChange { resource, expected_token, new_owner: Some(owner) });
         }
     }
 
-    /// How many resources each requester owns.
+    /// The number of resources that each requester owns.
     fn load_by_requester(&self, table: &LeaseTable) -> BTreeMap<ProcessId, usize> {
         let mut load: BTreeMap<ProcessId, usize> =
             self.requesters.keys().map(|requester| (requester.clone(), 0)).collect();
@@ -161,15 +166,15 @@
         load
     }
 
-    /// Whether the resource is somebody's and may still be in use.
+    /// Whether the resource has an owner and may still be in use.
     fn is_leased(&self, now: Micros, table: &LeaseTable, resource: &ResourceName) -> bool {
         let leased_until = self.leased_until.get(resource).copied().unwrap_or(0).max(self.takeover_at);
         let has_owner = table.get(resource).is_some_and(|assignment| assignment.owner.is_some());
         has_owner && now < leased_until
     }
 
-    /// Spreads resources evenly: the one of those that want it that owns the fewest, and among such the one that the resource's
-    /// name draws.
+    /// Chooses the requester of this resource that owns the fewest resources, so that resources are distributed evenly.
+    /// Ties are broken by rendezvous hashing of the resource's name.
     fn choose_owner(&self, resource: &ResourceName, load: &BTreeMap<ProcessId, usize>) -> Option<ProcessId> {
         let candidates = self.requesters.iter().filter(|(_, requester)| requester.wanted.contains(resource));
         let rank = |process: &ProcessId| {
@@ -179,7 +184,7 @@
         candidates.map(|(process, _)| rank(process)).min().map(|(_, _, process)| process)
     }
 
-    /// These were not taken into the log. Not for changes that may still be committed.
+    /// Removes proposed changes that the log rejected. Must not be called for changes that may still be committed.
     pub fn cancel_changes(&mut self, changes: &[OwnershipChange]) {
         for change in changes {
             self.proposed.remove(&change.resource);
@@ -187,7 +192,7 @@
     }
 }
 
-/// Rendezvous hashing: each resource ranks the members in an order of its own.
+/// Rendezvous hashing: the hash ranks the members in a different order for each resource.
 fn rendezvous_hash(resource: &ResourceName, process: &ProcessId) -> u64 {
     crate::codec::digest(format!("{resource} {}", process.member).as_bytes())
 }
--- a/crates/fleet/src/lease/lease_manager/tests.rs
+++ b/crates/fleet/src/lease/lease_manager/tests.rs
@@ -1,4 +1,4 @@
-//! Spreading, expiry and release of leases at the leader.
+//! Tests of the distribution, expiry and release of leases at the leader.
 
 use super::*;
 use crate::lease::encode_changes;
@@ -26,9 +26,10 @@
     (0..members).map(of).collect()
 }
 
-/// A thousand resources over five members: evenly; when one dies its own are spread over the others, and nothing else moves.
+/// A thousand resources are distributed evenly over five members. When one member fails, its resources are distributed
+/// over the others once its leases have expired, and no other resource changes its owner.
 #[test]
-fn resources_are_spread_evenly_and_stay_where_they_are() {
+fn resources_are_distributed_evenly_and_only_those_of_a_failed_member_move() {
     let (mut manager, mut table, mut index) = (LeaseManager::new(0, LEASE), LeaseTable::default(), 0);
     let mut assign_all = |manager: &mut LeaseManager, table: &mut LeaseTable, now, members: &[usize]| {
         for n in members {
@@ -52,7 +53,11 @@
         manager.answer(0, &request(n, 1_000), &table);
     }
     let before = table.clone();
-    assert_eq!(assign_all(&mut manager, &mut table, 500, &[0, 1, 2, 3]), 0, "its lease is not over");
+    assert_eq!(
+        assign_all(&mut manager, &mut table, 500, &[0, 1, 2, 3]),
+        0,
+        "the failed member's leases have not expired"
+    );
     for n in 0..4 {
         manager.answer(1_000, &request(n, 1_000), &table);
     }
@@ -66,7 +71,7 @@
 }
 
 #[test]
-fn new_leader_takes_nothing_from_anybody_for_a_lease() {
+fn new_leader_reassigns_no_owned_resource_for_one_lease() {
     let (mut table, resource) = (LeaseTable::default(), ResourceName::new("w0").unwrap());
     assign(&mut table, &resource, process(0));
     let mut manager = LeaseManager::new(50, LEASE);
@@ -75,9 +80,9 @@
     assert_eq!(manager.next_changes(50 + leader_lease(LEASE), &table)[0].new_owner, Some(process(1)));
 }
 
-/// Who releases a resource says so, and the next owner has it without waiting for a lease.
+/// A resource that its owner has released is assigned to the next owner without waiting for the lease to expire.
 #[test]
-fn released_resource_is_free_at_once() {
+fn released_resource_is_reassigned_without_waiting_for_its_lease() {
     let (mut table, resource) = (LeaseTable::default(), ResourceName::new("w0").unwrap());
     assign(&mut table, &resource, process(0));
     let mut manager = LeaseManager::new(0, LEASE);
--- a/crates/fleet/src/lease/mod.rs
+++ b/crates/fleet/src/lease/mod.rs
@@ -1,12 +1,13 @@
-//! Leases on resources that one member of the fleet at a time works on. The log says whose a resource is, by a fencing token that only
-//! grows ([`LeaseTable`], the log's state machine); leases say for how long that may be relied upon ([`lease_manager`], at the
-//! leader, and [`lease_holder`], at the member); a fencing guard keeps an owner that wakes up late from doing harm where its
-//! effects arrive ([`fencing`]).
+//! Leases on resources that only one member of the fleet may use at a time. The replicated log stores the owner of each
+//! resource and a monotonically increasing fencing token ([`LeaseTable`], the state machine of the log). Leases limit
+//! how long an owner may rely on its ownership ([`lease_manager`] at the leader, [`lease_holder`] at the member). A
+//! fencing guard at the receiver rejects the effects of a former owner that has not noticed the loss of its lease, for
+//! example after a pause ([`fencing`]).
 //!
-//! A lease is counted by the holder from before it asked, and by the leader from after its answer was confirmed by a majority,
-//! and longer by the clocks' drift ([`CLOCK_DRIFT_DIVISOR`]). So as long as no clock runs faster or slower than another by more
-//! than that, nobody is assigned a resource before its last holder has released it. Where a clock does worse, tokens still
-//! distinguish the two.
+//! The holder counts a lease from the time at which it sent the request. The leader counts it from the time at which a
+//! majority confirmed its leadership for the answer, and adds a margin for clock drift ([`CLOCK_DRIFT_DIVISOR`]).
+//! Therefore a resource is not reassigned before its previous holder has stopped using it, as long as no two clocks
+//! drift apart by more than the margin. If they do, the tokens still distinguish the two owners.
 
 pub mod fencing;
 pub mod lease_holder;
@@ -22,30 +23,32 @@
 use crate::member::{MemberId, NAME_BYTES};
 use crate::quorum::machine::StateMachine;
 
-/// Maximum number of resources; further ones are not assigned.
+/// Maximum number of resources; further resources are not assigned.
 pub const MAX_RESOURCES: usize = 2_048;
-/// Maximum number of resources that one command assigns or frees.
+/// Maximum number of resources assigned or freed by one command.
 pub const MAX_CHANGES_PER_COMMAND: usize = 16;
-/// Clocks may differ by one part in so many over a lease.
+/// The rates of two clocks may differ by one part in this number.
 pub const CLOCK_DRIFT_DIVISOR: u64 = 20;
 
-/// For how long the leader counts a lease: longer than the holder does, by twice the drift, for both clocks may be off.
+/// The duration for which the leader counts a lease: that of the holder plus twice the drift, because both clocks may
+/// be off.
 pub fn leader_lease(lease: Micros) -> Micros {
     lease + lease * 2 / CLOCK_DRIFT_DIVISOR + 1
 }
 
-/// A text that is no resource's name.
+/// The error for a text that is not a valid resource name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("no resource's name: give 1 to {NAME_BYTES} printable characters without spaces")]
+#[error("invalid resource name: expected 1 to {NAME_BYTES} printable ASCII characters without spaces")]
 pub struct InvalidResourceName;
 
-/// The name of a resource, as in `release` or `trial/s-3`.
+/// The name of a resource, for example `release` or `trial/s-3`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "Arc<str>", into = "Arc<str>")]
 pub struct ResourceName(Arc<str>);
 
 impl ResourceName {
-    /// A name of 1 to 48 printable characters without spaces; `None`: the text is none.
+    /// Creates a name of 1 to [`NAME_BYTES`] printable ASCII characters without spaces; `None` if the text is not
+    /// valid.
     pub fn new(text: &str) -> Option<ResourceName> {
         let is_printable = text.bytes().all(|byte| byte.is_ascii_graphic());
         let is_name = is_printable && (1..=NAME_BYTES).contains(&text.len());
@@ -78,72 +81,72 @@
     }
 }
 
-/// A member's process: its id and the nonce of its start.
+/// Identifies a process of a member by the member's id and the nonce of the start.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ProcessId {
     /// The member.
     pub member: MemberId,
-    /// Which of its starts.
+    /// The nonce that distinguishes the starts of the member.
     pub nonce: u64,
 }
 
-/// Whose a resource is.
+/// The owner of a resource.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Assignment {
-    /// `None`: nobody's.
+    /// The owner; `None` if the resource has none.
     pub owner: Option<ProcessId>,
-    /// The fencing token of this or, where it is nobody's, of the last owner. It is the log's index of the command, and so only
-    /// grows.
+    /// The fencing token of the owner or, if there is none, of the last owner. It is the log index of the command that
+    /// assigned the resource, and therefore increases with each assignment.
     pub token: u64,
 }
 
-/// One change that a command makes.
+/// A change of the owner of one resource, part of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct OwnershipChange {
     /// The resource.
     pub resource: ResourceName,
-    /// Its token as the leader knew it; where another holds by now, nothing is done.
+    /// The token of the resource known to the leader. The change is ignored if the token has changed since.
     pub expected_token: u64,
-    /// Whose it is from now on; `None`: nobody's.
+    /// The new owner; `None` to free the resource.
     pub new_owner: Option<ProcessId>,
 }
 
-/// The replicated state: whose each resource is.
+/// The replicated state: the owner and token of each resource.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseTable {
     assignments: BTreeMap<ResourceName, Assignment>,
 }
 
 impl LeaseTable {
-    /// Whose a resource is; `None`: it was never anybody's.
+    /// The assignment of a resource; `None` if it never had an owner.
     pub fn get(&self, resource: &ResourceName) -> Option<&Assignment> {
         self.assignments.get(resource)
     }
 
-    /// Its token; 0: it was never anybody's.
+    /// The token of a resource; 0 if it never had an owner.
     pub fn token(&self, resource: &ResourceName) -> u64 {
         self.get(resource).map_or(0, |assignment| assignment.token)
     }
 
-    /// Whether this process owns the resource, by this token.
+    /// Whether this process owns the resource with this token.
     pub fn is_owned(&self, resource: &ResourceName, owner: &ProcessId, token: u64) -> bool {
         self.get(resource)
             .is_some_and(|assignment| assignment.owner.as_ref() == Some(owner) && assignment.token == token)
     }
 
-    /// All resources, by name.
+    /// All resources and their assignments, ordered by name.
     pub fn iter(&self) -> impl Iterator<Item = (&ResourceName, &Assignment)> {
         self.assignments.iter()
     }
 
-    /// Makes a change, unless it was overtaken or the table is full.
+    /// Applies a change unless it is outdated or the table is full. Returns whether it was applied.
     fn apply_change(&mut self, index: u64, change: OwnershipChange) -> bool {
         let is_new = !self.assignments.contains_key(&change.resource);
         let token = self.token(&change.resource);
         if is_new && self.assignments.len() >= MAX_RESOURCES || token != change.expected_token {
             return false;
         }
-        // A freed resource keeps its token: the next owner's has to be above it.
+        // A freed resource keeps its token, because the token of the next owner must be higher.
         let token = if change.new_owner.is_some() { index } else { token };
         self.assignments.insert(change.resource, Assignment { owner: change.new_owner, token });
         true
@@ -151,56 +154,56 @@
 }
 
 impl StateMachine for LeaseTable {
-    /// How many of the changes were made.
+    /// The number of changes that were applied.
     type Answer = u16;
 
     fn apply(&mut self, index: u64, body: &[u8]) -> u16 {
-        let mut made = 0;
+        let mut applied = 0;
         for change in decode_changes(body).into_iter().take(MAX_CHANGES_PER_COMMAND) {
-            made += u16::from(self.apply_change(index, change));
+            applied += u16::from(self.apply_change(index, change));
         }
-        made
+        applied
     }
 }
 
-/// The body of a command that makes these changes.
+/// Encodes changes as the body of a command.
 pub fn encode_changes(changes: &[OwnershipChange]) -> Vec<u8> {
     postcard::to_stdvec(changes).unwrap_or_default()
 }
 
-/// The changes of a command's body; none where it is unreadable.
+/// Decodes the changes in the body of a command; returns none if the body cannot be decoded.
 pub fn decode_changes(body: &[u8]) -> Vec<OwnershipChange> {
     postcard::from_bytes(body).unwrap_or_default()
 }
 
-/// A resource with the token by which it is or was owned.
+/// A resource and the token with which it is or was owned.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct OwnedResource {
     /// The resource.
     pub resource: ResourceName,
-    /// The token.
+    /// The owner's fencing token.
     pub token: u64,
 }
 
-/// What a member asks the leader, again and again: that it is there, what it would own, and what it has released.
+/// The request that a member sends to the leader periodically. It also shows that the member is alive.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Who asks.
+    /// The requesting process.
     pub requester: ProcessId,
-    /// Counts its requests.
+    /// The number of the request; it increases with each request of the process.
     pub number: u64,
-    /// Resources that it would own.
+    /// The resources that the process requests to own.
     pub wanted: Vec<ResourceName>,
-    /// Resources that it has released.
+    /// The resources that the process has released.
     pub released: Vec<OwnedResource>,
 }
 
-/// The leader's answer, confirmed by a majority after the request came.
+/// The leader's response. A majority confirmed its leadership after the request arrived.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseResponse {
-    /// The request.
+    /// The number of the request.
     pub number: u64,
-    /// What the requester owns; nothing else is its own.
+    /// All resources that the requester owns.
     pub owned: Vec<OwnedResource>,
 }
 
--- a/crates/fleet/src/lease/tests.rs
+++ b/crates/fleet/src/lease/tests.rs
@@ -1,4 +1,4 @@
-//! The replicated lease table.
+//! Tests of the replicated lease table.
 
 use super::*;
 
@@ -12,10 +12,10 @@
 }
 
 #[test]
-fn tokens_grow_and_a_change_that_was_overtaken_does_nothing() {
+fn tokens_increase_and_outdated_changes_are_ignored() {
     let (mut table, resource) = (LeaseTable::default(), ResourceName::new("release").unwrap());
     assert_eq!(table.apply(3, &change("release", 0, process("n1"))), 1);
-    assert_eq!(table.apply(4, &change("release", 0, process("n2"))), 0, "proposed before that was known");
+    assert_eq!(table.apply(4, &change("release", 0, process("n2"))), 0, "proposed with an outdated token");
     assert_eq!(table.get(&resource), Some(&Assignment { owner: process("n1"), token: 3 }));
     assert_eq!(table.apply(5, &change("release", 3, None)), 1);
     assert_eq!(table.get(&resource), Some(&Assignment { owner: None, token: 3 }));
