--- a/crates/fleet/src/wal.rs
+++ b/crates/fleet/src/wal.rs
@@ -1,30 +1,34 @@
-//! A voter's write-ahead log as bytes: an append-only file of records, each with a checksum over its head and one over its body. No
-//! I/O: the adapter moves the bytes and syncs them.
+//! The byte format of a voter's write-ahead log: an append-only file of records, each with one checksum over its header
+//! and one over its body. This module performs no I/O; the caller reads, writes and syncs the file.
 //!
-//! A file that ends in the middle of a record was torn before anybody was told that it is kept: the end is dropped. A record that is
-//! unreadable where more follows, or whose head is readable and whose body is not, was kept once: its position stays as the
-//! voter's promise ([`RecoveredState::promised`]), so that it votes for nobody who lacks it, and the leader sends it again.
+//! An incomplete record at the end of the file is a torn write. It was never reported as durable, so it is discarded. A
+//! record that is unreadable although readable records follow, or that has a readable header and an unreadable body,
+//! was durable before. If the header is readable, its position is kept as the voter's promise
+//! ([`RecoveredState::promised`]): the voter grants no vote to a candidate that lacks the entry, and the leader sends
+//! the entry again.
 
 use crate::quorum::log::Log;
 use crate::quorum::{Entry, HardState, LogPosition, LogRecord, RecoveredState};
 
-/// The format that this version writes.
+/// The format version that this program writes.
 pub const FORMAT: u16 = 1;
-/// Maximum size of a record's body: a snapshot of a full state machine.
+/// Maximum size of a record body. The largest records are snapshots; the bound fits a state machine of the maximum
+/// size.
 pub const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 
 const MAGIC: &[u8; 6] = b"CSPLOG";
-/// Magic and format.
-const HEADER_BYTES: usize = MAGIC.len() + 2;
+/// Size of the file header: the magic bytes and the format version.
+const FILE_HEADER_BYTES: usize = MAGIC.len() + 2;
 const CHECKSUM_BYTES: usize = 8;
 
-// A record's head: kind, body length, term, index, checksum of the body, checksum of all that.
+// Layout of a record header: kind, body length, term, index, checksum of the body, checksum of all preceding header
+// fields.
 const LENGTH_AT: usize = 1;
 const TERM_AT: usize = LENGTH_AT + 4;
 const INDEX_AT: usize = TERM_AT + 8;
 const BODY_CHECKSUM_AT: usize = INDEX_AT + 8;
-const HEAD_CHECKSUM_AT: usize = BODY_CHECKSUM_AT + CHECKSUM_BYTES;
-const RECORD_HEAD_BYTES: usize = HEAD_CHECKSUM_AT + CHECKSUM_BYTES;
+const HEADER_CHECKSUM_AT: usize = BODY_CHECKSUM_AT + CHECKSUM_BYTES;
+const RECORD_HEADER_BYTES: usize = HEADER_CHECKSUM_AT + CHECKSUM_BYTES;
 
 const KIND_HARD_STATE: u8 = 1;
 const KIND_ENTRY: u8 = 2;
@@ -36,14 +40,14 @@
     checksum
 }
 
-/// What a new file begins with.
+/// The header of a log file.
 pub fn header() -> Vec<u8> {
     let mut bytes = MAGIC.to_vec();
     bytes.extend_from_slice(&FORMAT.to_le_bytes());
     bytes
 }
 
-/// A record as bytes.
+/// Encodes a record.
 pub fn encode(record: &LogRecord) -> Vec<u8> {
     let (kind, position, body) = match record {
         LogRecord::HardState(hard_state) => {
@@ -59,19 +63,20 @@
         }
     };
     let body = body.unwrap_or_default();
-    let mut bytes = Vec::with_capacity(RECORD_HEAD_BYTES + body.len());
+    let mut bytes = Vec::with_capacity(RECORD_HEADER_BYTES + body.len());
     bytes.push(kind);
     bytes.extend_from_slice(&(body.len() as u32).to_le_bytes());
     bytes.extend_from_slice(&position.term.to_le_bytes());
     bytes.extend_from_slice(&position.index.to_le_bytes());
     bytes.extend_from_slice(&checksum(&body));
-    let head_checksum = checksum(&bytes);
-    bytes.extend_from_slice(&head_checksum);
+    let header_checksum = checksum(&bytes);
+    bytes.extend_from_slice(&header_checksum);
     bytes.extend_from_slice(&body);
     bytes
 }
 
-/// What the file's records amount to; kept up beside the file, so that it can be rewritten shorter.
+/// The state described by the records of a file. The caller updates it with each record that it writes, so that it can
+/// replace the file by a compacted one.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WalContents {
     /// Term, vote and incarnations.
@@ -81,7 +86,7 @@
 }
 
 impl WalContents {
-    /// Takes a record; false: it does not join the log.
+    /// Applies a record. Returns false if it is an entry whose index does not continue the log.
     pub fn apply(&mut self, record: LogRecord) -> bool {
         match record {
             LogRecord::HardState(hard_state) => self.hard_state = hard_state,
@@ -103,7 +108,7 @@
         true
     }
 
-    /// A whole file with just this.
+    /// Encodes a complete file with only this state.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = header();
         bytes.extend(encode(&LogRecord::HardState(self.hard_state.clone())));
@@ -120,54 +125,56 @@
     }
 }
 
-/// What was found damaged.
+/// The damage found in a file.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Damage {
-    /// Bytes of a last record that was not written to its end.
+    /// Number of bytes of an incomplete record at the end of the file.
     pub torn_bytes: usize,
-    /// Records that were kept and are unreadable.
+    /// Number of records that were durable and are unreadable.
     pub unreadable_records: usize,
 }
 
-/// Why a file cannot be used at all.
+/// Why a file cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WalError {
-    /// It is no such file.
-    #[error("its log is no log of a fleet; move it away")]
+    /// The file does not start with the magic bytes of a write-ahead log.
+    #[error("the file 'log' is not a write-ahead log of this program; move it out of the folder")]
     UnrecognizedFile,
-    /// A newer version wrote it.
-    #[error("its log has format {0}, of a newer version; start that one")]
+    /// The file has a format version that this program does not support.
+    #[error("the write-ahead log has format {0}, written by a newer version; start that version instead")]
     NewerFormat(u16),
 }
 
-struct RecordHead {
+struct RecordHeader {
     kind: u8,
     body_length: usize,
     position: LogPosition,
     body_checksum: [u8; CHECKSUM_BYTES],
 }
 
-impl RecordHead {
-    /// Reads the head at the beginning of these bytes; `None`: there is none, or its checksum is wrong.
-    fn read(bytes: &[u8]) -> Option<RecordHead> {
-        let bytes = bytes.get(..RECORD_HEAD_BYTES)?;
+impl RecordHeader {
+    /// Reads the header at the start of these bytes; `None` if they are too short, the checksum does not match, or the
+    /// body would be too long.
+    fn read(bytes: &[u8]) -> Option<RecordHeader> {
+        let bytes = bytes.get(..RECORD_HEADER_BYTES)?;
         let field = |at: usize| -> [u8; 8] { std::array::from_fn(|n| bytes[at + n]) };
-        if checksum(&bytes[..HEAD_CHECKSUM_AT]) != field(HEAD_CHECKSUM_AT) {
+        if checksum(&bytes[..HEADER_CHECKSUM_AT]) != field(HEADER_CHECKSUM_AT) {
             return None;
         }
         let length: [u8; 4] = std::array::from_fn(|n| bytes[LENGTH_AT + n]);
         let term = u64::from_le_bytes(field(TERM_AT));
         let index = u64::from_le_bytes(field(INDEX_AT));
-        let head = RecordHead {
+        let header = RecordHeader {
             kind: bytes[0],
             body_length: u32::from_le_bytes(length) as usize,
             position: LogPosition { term, index },
             body_checksum: field(BODY_CHECKSUM_AT),
         };
-        (head.body_length <= MAX_BODY_BYTES).then_some(head)
+        (header.body_length <= MAX_BODY_BYTES).then_some(header)
     }
 
-    /// Reads the body of this head; `None`: it is unreadable.
+    /// Decodes the body that belongs to this header; `None` if the checksum does not match or the body cannot be
+    /// decoded.
     fn read_body(&self, body: &[u8]) -> Option<LogRecord> {
         if checksum(body) != self.body_checksum {
             return None;
@@ -187,7 +194,7 @@
     }
 }
 
-/// A recovery under way.
+/// The state of a recovery in progress.
 #[derive(Default)]
 struct Recovery {
     contents: WalContents,
@@ -196,56 +203,58 @@
 }
 
 impl Recovery {
-    /// Takes a record whose head is readable.
-    fn recover_record(&mut self, head: &RecordHead, body: &[u8]) {
-        match head.read_body(body) {
+    /// Recovers a record with a readable header.
+    fn recover_record(&mut self, header: &RecordHeader, body: &[u8]) {
+        match header.read_body(body) {
             Some(record) => {
-                let joins_log = self.contents.apply(record);
-                let end = if joins_log { self.contents.log.last() } else { head.position };
+                let continues_log = self.contents.apply(record);
+                let end = if continues_log { self.contents.log.last() } else { header.position };
                 self.promised = self.promised.max(end);
             }
             None => {
                 self.damage.unreadable_records += 1;
-                if head.kind != KIND_HARD_STATE {
-                    self.promised = self.promised.max(head.position);
+                if header.kind != KIND_HARD_STATE {
+                    self.promised = self.promised.max(header.position);
                 }
             }
         }
     }
 
-    /// Takes the records of a file, behind its header.
+    /// Recovers the records of a file; `bytes` excludes the file header.
     fn recover_records(&mut self, bytes: &[u8]) {
         let mut at = 0;
         while at < bytes.len() {
-            let Some(head) = RecordHead::read(&bytes[at..]) else {
-                // The next readable record tells that this one was kept; with none, it is the torn end.
-                let next = (at + 1..bytes.len()).find(|n| RecordHead::read(&bytes[*n..]).is_some());
+            let Some(header) = RecordHeader::read(&bytes[at..]) else {
+                // If a readable record follows, the unreadable bytes were durable. If none follows, they are a torn
+                // write.
+                let next = (at + 1..bytes.len()).find(|n| RecordHeader::read(&bytes[*n..]).is_some());
                 let Some(next) = next else { break };
                 self.damage.unreadable_records += 1;
                 at = next;
                 continue;
             };
-            let body_at = at + RECORD_HEAD_BYTES;
-            let Some(body) = bytes.get(body_at..body_at + head.body_length) else { break };
-            self.recover_record(&head, body);
-            at = body_at + head.body_length;
+            let body_at = at + RECORD_HEADER_BYTES;
+            let Some(body) = bytes.get(body_at..body_at + header.body_length) else { break };
+            self.recover_record(&header, body);
+            at = body_at + header.body_length;
         }
         self.damage.torn_bytes = bytes.len() - at;
     }
 }
 
-/// Reads a file. Nothing of it is believed that is unreadable; what can be told of the rest is in the promise.
+/// Recovers the state from the bytes of a file. Unreadable records are skipped; the highest position known from their
+/// headers is included in [`RecoveredState::promised`].
 ///
 /// # Errors
-/// Where the file is no write-ahead log, or has a newer format.
+/// Fails if the file is not a write-ahead log or has a newer format.
 pub fn recover(bytes: &[u8]) -> Result<(RecoveredState, Damage), WalError> {
     if bytes.is_empty() {
         return Ok((RecoveredState::default(), Damage::default()));
     }
     let after_magic = bytes.strip_prefix(MAGIC.as_slice());
     let Some((format, records)) = after_magic.and_then(|rest| rest.split_first_chunk::<2>()) else {
-        // A header that was not written to its end holds nothing yet.
-        let is_torn = bytes.len() < HEADER_BYTES && header().starts_with(bytes);
+        // The write of the file header was torn, so the file has no records yet.
+        let is_torn = bytes.len() < FILE_HEADER_BYTES && header().starts_with(bytes);
         let damage = Damage { torn_bytes: bytes.len(), ..Damage::default() };
         return if is_torn {
             Ok((RecoveredState::default(), damage))
--- a/crates/fleet/src/wal/tests.rs
+++ b/crates/fleet/src/wal/tests.rs
@@ -1,4 +1,4 @@
-//! Recovery of whole, torn and damaged files.
+//! Tests of the recovery of intact, torn and damaged files.
 
 use proptest::prelude::*;
 
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn file_is_recovered_and_the_same_when_rewritten() {
+fn recovered_state_is_the_same_after_a_rewrite() {
     let (recovered, damage) = recover(&file(&records())).unwrap();
     assert_eq!(
         (recovered.hard_state.term, recovered.log.last(), recovered.is_intact),
@@ -34,38 +34,40 @@
         state: vec![9],
         replaces_log: false
     }));
-    let (short, _) = recover(&contents.encode()).unwrap();
-    assert_eq!((short.log.base().index, short.log.last().index, short.log.state()), (2, 4, &[9][..]));
+    let (compacted, _) = recover(&contents.encode()).unwrap();
+    let log = &compacted.log;
+    assert_eq!((log.base().index, log.last().index, log.state()), (2, 4, &[9][..]));
 }
 
 #[test]
-fn entry_in_place_of_another_voids_those_behind_it() {
+fn entry_at_an_existing_index_removes_all_later_entries() {
     let mut all = records();
     all.push(LogRecord::Entry { index: 2, entry: entry(4, 1) });
     assert_eq!(recover(&file(&all)).unwrap().0.log.last(), LogPosition { term: 4, index: 2 });
 }
 
-/// Wherever a bit flips, what reads is a beginning of what was kept; and where the flip is in the body of an entry, the entry's
-/// place is still promised.
+/// A flipped bit at any place is detected and never extends the log. The promised position is lowered only if the bit
+/// is in the header of the last record: that damage cannot be distinguished from a torn write.
 #[test]
-fn flipped_bit_takes_no_promise_away() {
-    let whole = file(&records());
-    let (recovered, _) = recover(&whole).unwrap();
-    for at in HEADER_BYTES..whole.len() {
-        let mut bytes = whole.clone();
+fn flipped_bit_outside_the_last_header_does_not_lower_the_promised_position() {
+    let intact = file(&records());
+    let (recovered, _) = recover(&intact).unwrap();
+    for at in FILE_HEADER_BYTES..intact.len() {
+        let mut bytes = intact.clone();
         bytes[at] ^= 0x10;
         let (found, damage) = recover(&bytes).unwrap();
         assert!(damage.unreadable_records + damage.torn_bytes > 0, "at {at}");
         assert!(found.log.last() <= recovered.log.last(), "at {at}");
-        let last = encode(&records()[4]).len();
-        if at < whole.len() - last || at >= whole.len() - last + RECORD_HEAD_BYTES {
+        let last_record_bytes = encode(&records()[4]).len();
+        let last_record_at = intact.len() - last_record_bytes;
+        if at < last_record_at || at >= last_record_at + RECORD_HEADER_BYTES {
             assert_eq!(found.promised, recovered.promised, "at {at}");
         }
     }
 }
 
 #[test]
-fn foreign_and_newer_files_are_refused() {
+fn unrecognized_files_and_newer_formats_are_rejected() {
     assert_eq!(recover(b"something else"), Err(WalError::UnrecognizedFile));
     assert_eq!(recover(&[&MAGIC[..], &[9, 0]].concat()), Err(WalError::NewerFormat(9)));
     assert_eq!(recover(b"").unwrap().0, RecoveredState::default());
@@ -73,23 +75,23 @@
 }
 
 proptest! {
-    /// A file cut anywhere holds the records that were whole, and never more.
+    /// From a file truncated at any place, exactly the complete records are recovered.
     #[test]
-    fn torn_file_holds_its_complete_records(cut in 0usize..400) {
-        let whole = file(&records());
-        let cut = cut.min(whole.len());
-        let (recovered, damage) = recover(&whole[..cut]).unwrap();
+    fn exactly_the_complete_records_of_a_truncated_file_are_recovered(length in 0usize..400) {
+        let intact = file(&records());
+        let length = length.min(intact.len());
+        let (recovered, damage) = recover(&intact[..length]).unwrap();
         prop_assert_eq!(damage.unreadable_records, 0);
-        prop_assert!(recovered.promised <= recover(&whole).unwrap().0.promised);
-        let kept = recovered.log.last().index as usize;
-        let fits = (0..=4).rev().find(|n| file(&records()[..=*n]).len() <= cut);
-        prop_assert_eq!(kept, fits.unwrap_or(0));
+        prop_assert!(recovered.promised <= recover(&intact).unwrap().0.promised);
+        let recovered_entries = recovered.log.last().index as usize;
+        let complete_entries = (0..=4).rev().find(|n| file(&records()[..=*n]).len() <= length);
+        prop_assert_eq!(recovered_entries, complete_entries.unwrap_or(0));
     }
 
     #[test]
-    fn noise_causes_no_panic(noise in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_cause_no_panic(records in proptest::collection::vec(any::<u8>(), 0..300)) {
         let mut bytes = header();
-        bytes.extend(noise);
+        bytes.extend(records);
         let _ = recover(&bytes);
     }
 }
