--- a/crates/fleet/src/lease/lease_holder.rs
+++ b/crates/fleet/src/lease/lease_holder.rs
@@ -6,8 +6,8 @@
 use super::{LeaseRequest, LeaseResponse, OwnedResource, ProcessId, ResourceName};
 use crate::Micros;
 
-/// Maximum number of unanswered requests that are tracked. With `REQUESTS_PER_LEASE` requests per lease, the lease of
-/// an older request has already expired.
+/// Maximum number of unanswered requests that are tracked; responses to older requests are ignored. At the regular
+/// request interval, the lease of a request that is no longer tracked would have expired.
 const MAX_PENDING_REQUESTS: usize = 16;
 /// Number of requests per lease duration.
 const REQUESTS_PER_LEASE: u64 = 6;
--- a/crates/fleet/src/lease/lease_manager.rs
+++ b/crates/fleet/src/lease/lease_manager.rs
@@ -10,8 +10,8 @@
 };
 use crate::Micros;
 
-/// Maximum number of tracked requesters. Requests of further members are not considered until a tracked one has sent no
-/// request for the duration of a lease.
+/// Maximum number of tracked requesters. Resources wanted by others are not assigned to them until a tracked requester
+/// wants nothing any more or has sent no request for the duration of a lease.
 const MAX_REQUESTERS: usize = 1_024;
 
 #[derive(Clone, Debug)]
