--- a/src/platform/clients/connections.rs
+++ b/src/platform/clients/connections.rs
@@ -14,15 +14,15 @@
 use crate::{CallId, Micros};
 
 use super::super::line::{Line, Tag, reader};
-use super::super::{ConnectionId, PlatformFrontend, Shared};
+use super::super::{ConnectionId, PlatformFrontend, SharedFrontend};
 use super::Clients;
 use super::releases::Release;
 
 /// A caller that confirms releases does so within this.
-const CONFIRM_TIME: Micros = 200_000;
+const CONFIRM_TIMEOUT: Micros = 200_000;
 /// A connection is closed under a caller's next message less often where it was without use for this long: many callers go on as
 /// soon as they have their answer.
-const IDLE_BEFORE_CLOSE: Micros = 20_000;
+const MIN_IDLE_TIME: Micros = 20_000;
 /// A connection on which no request was taken for this long from its start is closed: its peer says nothing, or nothing that
 /// makes sense, and holds a descriptor.
 const UNUSED_TIMEOUT: Micros = 2_000_000;
@@ -68,21 +68,21 @@
 
     /// Whether nothing is pending or established on it, nothing was said a moment ago, and no release is to be confirmed.
     fn is_idle(&self, now: Micros) -> bool {
-        let is_paused = now >= self.last_used_at.unwrap_or(self.opened_at) + IDLE_BEFORE_CLOSE;
+        let is_past_idle_time = now >= self.last_used_at.unwrap_or(self.opened_at) + MIN_IDLE_TIME;
         let awaits_confirmation =
-            self.unconfirmed_releases.values().any(|release| now < release.sent_at + CONFIRM_TIME);
-        self.may_close() && self.established.is_empty() && is_paused && !awaits_confirmation
+            self.unconfirmed_releases.values().any(|release| now < release.sent_at + CONFIRM_TIMEOUT);
+        self.may_close() && self.established.is_empty() && is_past_idle_time && !awaits_confirmation
     }
 
     /// Whether it never was of any use.
-    fn is_useless(&self, now: Micros) -> bool {
+    fn is_unused(&self, now: Micros) -> bool {
         self.last_used_at.is_none() && self.may_close() && now > self.opened_at + UNUSED_TIMEOUT
     }
 }
 
 /// Accepts connections until this process hands over to another. What is queued then is still taken: a listener that closes
 /// resets it, and new connections come to the other process from then on.
-pub async fn accept(frontend: Shared, listener: TcpListener) {
+pub async fn accept(frontend: SharedFrontend, listener: TcpListener) {
     let mut is_listening = frontend.borrow().is_listening.subscribe();
     loop {
         let accepted = tokio::select! {
@@ -92,7 +92,7 @@
         };
         match accepted {
             Ok((stream, from)) => {
-                if frontend.borrow_mut().clients.make_room() {
+                if frontend.borrow_mut().clients.ensure_capacity() {
                     tokio::task::spawn_local(serve(frontend.clone(), stream, from.ip()));
                 }
                 // What made way is closed before the next comes: else a burst would take all descriptors.
@@ -109,24 +109,24 @@
 }
 
 /// Takes what is queued at a listener that is to close, without waiting in between.
-fn accept_queued(frontend: &Shared, listener: TcpListener) {
+fn accept_queued(frontend: &SharedFrontend, listener: TcpListener) {
     let Ok(listener) = listener.into_std() else { return };
     while let Ok((stream, from)) = listener.accept() {
         let stream = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
         if let Ok(stream) = stream
-            && frontend.borrow_mut().clients.make_room()
+            && frontend.borrow_mut().clients.ensure_capacity()
         {
             tokio::task::spawn_local(serve(frontend.clone(), stream, from.ip()));
         }
     }
 }
 
-async fn serve(frontend: Shared, mut stream: TcpStream, peer: IpAddr) {
+async fn serve(frontend: SharedFrontend, mut stream: TcpStream, peer: IpAddr) {
     let connection = ClientConnection::new(peer, clock::now());
     let outbox = connection.outbox.clone();
     let id = frontend.borrow_mut().new_connection_id();
     frontend.borrow_mut().clients.add_connection(id, connection);
-    let on_line = |line: Line| frontend.borrow_mut().handle_client_line(id, line);
+    let on_line = |line: Line| frontend.borrow_mut().handle_client_message(id, line);
     let _ = link::run(&mut stream, &outbox, MESSAGE_TIMEOUT, reader(on_line), || {}).await;
     frontend.borrow_mut().handle_client_end(id);
     outbox.flush_without_blocking(&stream);
@@ -141,18 +141,18 @@
             self.clients.remove_call(*call);
             self.feed(Input::SetupCancelled(*call));
         }
-        let mut has_torn_answer = false;
+        let mut has_partial_answer = false;
         for (call, answer) in &connection.established {
             // Guards against a caller's leaving that crosses the answer in our outbox: nobody will ever read it, so the call is
             // released now.
             if !connection.outbox.has_written(*answer) {
-                has_torn_answer |= !connection.outbox.withdraw(*answer);
+                has_partial_answer |= !connection.outbox.withdraw(*answer);
                 self.end_call_by_caller(*call);
             }
         }
         let outbox = connection.outbox.clone();
         self.clients.resend_unconfirmed(id, connection);
-        if has_torn_answer {
+        if has_partial_answer {
             outbox.clear(); // only now: what was dropped would count as written
         }
     }
@@ -169,7 +169,7 @@
     /// needs. Connections on which nothing is pending make way, first those that were never of any use, then those that have
     /// been without use for longest: some callers ask once and never close, and strangers connect by the hundreds and say
     /// nothing (found on days with both: all places were taken for good, and further callers were turned away unheard).
-    fn make_room(&mut self) -> bool {
+    fn ensure_capacity(&mut self) -> bool {
         let half = (self.max_connections / 2).max(1);
         let max = if self.is_shared { half } else { self.max_connections };
         let connections = self.connections.values();
@@ -208,7 +208,7 @@
     /// Closes connections of no use, and drops releases that have expired.
     pub(in crate::platform) fn maintain(&mut self, now: Micros) {
         self.expire_releases(now);
-        for connection in self.connections.values().filter(|connection| connection.is_useless(now)) {
+        for connection in self.connections.values().filter(|connection| connection.is_unused(now)) {
             connection.outbox.close_if_idle();
         }
     }
--- a/src/platform/clients/mod.rs
+++ b/src/platform/clients/mod.rs
@@ -26,7 +26,7 @@
 use super::{ConnectionId, NO_CONNECTION};
 use connections::ClientConnection;
 pub(super) use connections::accept;
-use releases::{Expiry, Release};
+use releases::{Release, ReleaseExpiry};
 
 /// No caller means to wait longer than its class's limit; one that says so has sent a figure that is none.
 const MAX_WAIT_SLACK_MS: f64 = 1_000.0;
@@ -38,9 +38,9 @@
     /// Its class's place in the settings.
     pub class: usize,
     /// The class as it came, in JSON.
-    pub class_text: Box<str>,
+    pub class_json: Box<str>,
     /// The number called as it came, in JSON.
-    pub key: Box<str>,
+    pub number_json: Box<str>,
     connection: ConnectionId,
     /// Its address.
     pub peer: IpAddr,
@@ -61,7 +61,7 @@
     /// The connections on which releases were written that nobody has confirmed.
     unconfirmed_releases: HashMap<Tag, ConnectionId>,
     /// All releases, in the order in which they expire.
-    release_expiries: VecDeque<Expiry>,
+    release_expiries: VecDeque<ReleaseExpiry>,
     /// The newer process of an upgrade: releases for which there is no connection here are sent there.
     pub(super) successor: Option<Rc<Outbox>>,
     /// The descriptors are shared with another process.
@@ -100,7 +100,7 @@
     }
 
     /// The call of a wire id, while it is pending or established.
-    pub(super) fn call_of(&self, tag: Tag) -> Option<CallId> {
+    pub(super) fn call_by_tag(&self, tag: Tag) -> Option<CallId> {
         self.by_tag.get(&tag).copied()
     }
 
@@ -120,10 +120,10 @@
     }
 
     /// Takes an established call from another process; no connection of ours brought it.
-    pub(super) fn adopt(&mut self, tag: Tag, class: usize, peer: IpAddr) -> CallId {
+    pub(super) fn adopt_call(&mut self, tag: Tag, class: usize, peer: IpAddr) -> CallId {
         let call = self.new_call_id();
         let connection = NO_CONNECTION;
-        let caller = Caller { tag, class, class_text: "".into(), key: "".into(), connection, peer };
+        let caller = Caller { tag, class, class_json: "".into(), number_json: "".into(), connection, peer };
         self.calls.insert(call, caller);
         self.by_tag.insert(tag, call);
         call
--- a/src/platform/clients/releases.rs
+++ b/src/platform/clients/releases.rs
@@ -20,7 +20,7 @@
 /// Maximum number of releases that are kept; at the bound the oldest is dropped.
 const MAX_RELEASES: usize = 10_000;
 /// A connection whose peer never confirms may have taken releases of this long with it when it ended.
-const UNREAD_TIME: Micros = 1_000_000;
+const UNREAD_WINDOW: Micros = 1_000_000;
 
 /// The release of an established call that is over.
 pub(super) struct Release {
@@ -36,7 +36,7 @@
 }
 
 /// When a release expires.
-pub(super) struct Expiry {
+pub(super) struct ReleaseExpiry {
     at: Micros,
     tag: Tag,
 }
@@ -66,15 +66,15 @@
     }
 
     fn add_release(&mut self, connection: ConnectionId, tag: Tag, release: Release) {
-        self.release_expiries.push_back(Expiry { at: release.expires_at, tag });
-        self.send_or_keep(connection, tag, release);
+        self.release_expiries.push_back(ReleaseExpiry { at: release.expires_at, tag });
+        self.send_or_queue(connection, tag, release);
         while self.release_expiries.len() > MAX_RELEASES {
             self.drop_oldest_release();
         }
     }
 
     /// Sends a release on the best connection; else to the newer process of an upgrade; else it waits for a connection.
-    fn send_or_keep(&mut self, preferred: ConnectionId, tag: Tag, release: Release) {
+    fn send_or_queue(&mut self, preferred: ConnectionId, tag: Tag, release: Release) {
         let unsent = match self.best_connection(preferred, release.peer) {
             Some(id) => self.send_release(id, tag, release),
             None => Some(release),
@@ -93,17 +93,17 @@
 
     /// The connection of the call's request, else another of the same peer, else any on which a request was taken.
     fn best_connection(&self, preferred: ConnectionId, peer: IpAddr) -> Option<ConnectionId> {
-        let fits = |connection: &ClientConnection| {
+        let is_eligible = |connection: &ClientConnection| {
             connection.outbox.is_open() && (connection.last_used_at.is_some() || connection.peer == peer)
         };
-        if self.connections.get(&preferred).is_some_and(fits) {
+        if self.connections.get(&preferred).is_some_and(is_eligible) {
             return Some(preferred);
         }
-        let fit = self.connections.iter().filter(|(_, connection)| fits(connection));
+        let eligible = self.connections.iter().filter(|(_, connection)| is_eligible(connection));
         let rank = |(id, connection): &(&ConnectionId, &ClientConnection)| {
             (connection.peer != peer, connection.last_used_at.is_none(), **id)
         };
-        fit.min_by_key(rank).map(|(id, _)| *id)
+        eligible.min_by_key(rank).map(|(id, _)| *id)
     }
 
     /// Writes a release to a connection, where it is kept until it is confirmed; returns it if that cannot be.
@@ -122,9 +122,10 @@
 
     /// Sends the releases that wait for a connection on this one, those that it fits. A connection that has said nothing yet fits
     /// only its own peer's callers: a stranger would read them and keep them to itself.
-    pub(super) fn send_pending_releases(&mut self, id: ConnectionId, fits: impl Fn(IpAddr) -> bool) {
+    pub(super) fn send_pending_releases(&mut self, id: ConnectionId, is_eligible: impl Fn(IpAddr) -> bool) {
         for (tag, release) in std::mem::take(&mut self.pending_releases) {
-            let unsent = if fits(release.peer) { self.send_release(id, tag, release) } else { Some(release) };
+            let unsent =
+                if is_eligible(release.peer) { self.send_release(id, tag, release) } else { Some(release) };
             self.pending_releases.extend(unsent.map(|release| (tag, release)));
         }
     }
@@ -151,10 +152,10 @@
             self.unconfirmed_releases.remove(&tag);
             // A peer that never confirms is not sent twice what it had the time to read.
             let is_written = release.ticket.is_some_and(|ticket| connection.outbox.has_written(ticket));
-            let may_be_unread = !is_written || now < release.sent_at + UNREAD_TIME;
+            let may_be_unread = !is_written || now < release.sent_at + UNREAD_WINDOW;
             if connection.confirms_releases || may_be_unread {
                 self.trace.record(now, release.call, TraceStep::ReleaseUnconfirmedOn(id));
-                self.send_or_keep(id, tag, release);
+                self.send_or_queue(id, tag, release);
             }
         }
     }
@@ -168,7 +169,7 @@
 
     /// Drops the oldest release. Written to a connection that is still open, it counts as confirmed.
     fn drop_oldest_release(&mut self) {
-        let Some(Expiry { at, tag }) = self.release_expiries.pop_front() else { return };
+        let Some(ReleaseExpiry { at, tag }) = self.release_expiries.pop_front() else { return };
         let sent_on = self.unconfirmed_releases.get(&tag);
         if let Some(connection) = sent_on.and_then(|id| self.connections.get_mut(id))
             && connection.unconfirmed_releases.get(&tag).is_some_and(|release| release.expires_at == at)
--- a/src/platform/clients/requests.rs
+++ b/src/platform/clients/requests.rs
@@ -10,14 +10,14 @@
 use crate::operate::handover::HandoverMessage;
 use crate::{CallId, Micros, Number, PoolId};
 
-use super::super::line::{Line, Tag, Verb, cause, encode, figures};
+use super::super::line::{Line, Tag, Verb, cause, encode, key_value_pairs};
 use super::super::{ConnectionId, PlatformFrontend};
 use super::{Caller, Clients};
 
 /// The pool of first choice where the request names none.
 const NO_POOL: PoolId = PoolId(-1);
 
-/// The figures of a request's `extras` that count here.
+/// The key_value_pairs of a request's `extras` that count here.
 struct Extras {
     first_choice: PoolId,
     is_redial: bool,
@@ -25,15 +25,15 @@
 
 impl Extras {
     /// Reads them; `None` if one cannot be read: they are not passed on, so no server would find what is wrong with them.
-    fn read(text: &str) -> Option<Extras> {
+    fn parse(text: &str) -> Option<Extras> {
         let mut extras = Extras { first_choice: NO_POOL, is_redial: false };
         for pair in text.split(';').filter(|pair| !pair.trim().is_empty()) {
-            let (name, value) = figures(pair).next()?;
-            let figure: i64 = value.parse().ok()?;
+            let (name, value) = key_value_pairs(pair).next()?;
+            let value: i64 = value.parse().ok()?;
             match name {
-                "dest" => extras.first_choice = PoolId(figure),
-                "width" if figure < 1 => return None,
-                "again" => extras.is_redial = figure == 1,
+                "dest" => extras.first_choice = PoolId(value),
+                "width" if value < 1 => return None,
+                "again" => extras.is_redial = value == 1,
                 _ => {}
             }
         }
@@ -43,7 +43,7 @@
 
 impl PlatformFrontend {
     /// Takes a caller's message; false to end the connection.
-    pub(super) fn handle_client_line(&mut self, id: ConnectionId, line: Line) -> bool {
+    pub(super) fn handle_client_message(&mut self, id: ConnectionId, line: Line) -> bool {
         match (line.verb, line.tag) {
             (Verb::Start, Some(tag)) => self.handle_request(id, tag, line),
             // A request without a readable id can be answered by no message.
@@ -62,7 +62,7 @@
     /// A caller cancels a request, or releases an established call: here, or at the other process of an upgrade.
     fn handle_client_finish(&mut self, id: ConnectionId, tag: Tag) {
         let confirmation = encode("FINISHED", tag, &[], None, None);
-        if let Some(call) = self.clients.call_of(tag) {
+        if let Some(call) = self.clients.call_by_tag(tag) {
             self.driver.trace.record(clock::now(), call, TraceStep::CallerMessageOn(id));
             self.clients.record_use(id);
             self.clients.write(id, &confirmation);
@@ -106,33 +106,33 @@
 impl Clients {
     /// Answers a message of which a field cannot be read.
     fn reject_message(&mut self, id: ConnectionId, tag: Tag) {
-        self.write(id, &encode("FINISH", tag, &[], Some(cause::BAD_FIELD), None));
+        self.write(id, &encode("FINISH", tag, &[], Some(cause::INVALID_FIELD), None));
     }
 
     /// Reads a request's fields and records its caller; `None` if a field is missing or cannot be read.
     fn read_request(&mut self, id: ConnectionId, tag: Tag, line: Line) -> Option<SetupRequest> {
         let peer = self.connections.get(&id)?.peer;
         let class = self.class_index(&line.text("class")?)?;
-        let left_ms = line.number("left").filter(|ms| (0.0..=self.max_wait_ms).contains(ms))?;
-        let key = line.text("key")?;
-        let extras = Extras::read(&line.text("extras").unwrap_or_default())?;
-        let description = line.blob.clone()?;
+        let time_left_ms = line.number("left").filter(|ms| (0.0..=self.max_wait_ms).contains(ms))?;
+        let dialled_number = line.text("key")?;
+        let extras = Extras::parse(&line.text("extras").unwrap_or_default())?;
+        let description = line.description.clone()?;
         if !description.starts_with(b"\"") {
             return None;
         }
         let call = self.new_call_id();
         let raw = |field| line.raw(field).unwrap_or_default().into();
-        let (class_text, key_text) = (raw("class"), raw("key"));
-        let caller = Caller { tag, class, class_text, key: key_text, connection: id, peer };
+        let (class_json, number_json) = (raw("class"), raw("key"));
+        let caller = Caller { tag, class, class_json, number_json, connection: id, peer };
         self.add_call(call, caller);
         Some(SetupRequest {
             call,
             wire_id: tag.to_string().into(),
             class,
-            number: number_of(&key),
-            dialled_number: key.into(),
+            number: number_from_text(&dialled_number),
+            dialled_number: dialled_number.into(),
             first_choice: extras.first_choice,
-            time_left: (left_ms * 1000.0) as Micros,
+            time_left: (time_left_ms * 1000.0) as Micros,
             is_redial: extras.is_redial,
             description,
         })
@@ -182,10 +182,10 @@
 }
 
 /// The number called: 16 hex digits, or whatever else it is, hashed.
-fn number_of(key: &str) -> Number {
-    Number(u64::from_str_radix(key, 16).unwrap_or_else(|_| {
+fn number_from_text(text: &str) -> Number {
+    Number(u64::from_str_radix(text, 16).unwrap_or_else(|_| {
         let mut hasher = DefaultHasher::new();
-        key.hash(&mut hasher);
+        text.hash(&mut hasher);
         hasher.finish()
     }))
 }
--- a/src/platform/handover.rs
+++ b/src/platform/handover.rs
@@ -24,12 +24,12 @@
 use crate::{CallId, Cause, EndpointListScope, LoadReport, Outcome, ServerStatus};
 
 use super::line::Tag;
-use super::servers::CallAtServer;
-use super::{PlatformFrontend, Shared};
+use super::servers::CallKey;
+use super::{PlatformFrontend, SharedFrontend};
 
 /// The old process says all it knows within this, or the new one begins without.
 const INHERITANCE_TIMEOUT: Duration = Duration::from_millis(300);
-/// A word that has begun comes whole within this.
+/// A message that has begun comes whole within this.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(1);
 /// No more waits to be read by the other process before further calls are handed over: a bound far under that of an
 /// outbox, which would close the connection.
@@ -49,8 +49,8 @@
 /// This process's own socket, not known to others yet.
 pub(super) struct UpgradeSocket {
     listener: UnixListener,
-    own: PathBuf,
-    shared: PathBuf,
+    own_path: PathBuf,
+    shared_path: PathBuf,
 }
 
 /// The socket's name, for a clients' address. `None`: no folder of our own is named, or no one can come back to the
@@ -61,47 +61,53 @@
 }
 
 /// Looks for an older process at this address and takes what it tells. Never keeps this one from starting.
-pub(super) async fn meet(frontend: &Shared, address: SocketAddr) -> Option<UpgradeSocket> {
-    let shared = socket_path(address)?;
-    let own = shared.with_extension(format!("upgrade.{}", std::process::id()));
-    let _ = std::fs::remove_file(&own); // of an earlier process of the same number
-    let bound = UnixListener::bind(&own);
-    let private = |path: &Path| std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o600));
-    let listener = match bound.and_then(|listener| private(&own).map(|()| listener)) {
+pub(super) async fn receive_from_older(
+    frontend: &SharedFrontend,
+    address: SocketAddr,
+) -> Option<UpgradeSocket> {
+    let shared_path = socket_path(address)?;
+    let own_path = shared_path.with_extension(format!("upgrade.{}", std::process::id()));
+    let _ = std::fs::remove_file(&own_path); // of an earlier process of the same number
+    let bound = UnixListener::bind(&own_path);
+    let restrict_to_owner =
+        |path: &Path| std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o600));
+    let listener = match bound.and_then(|listener| restrict_to_owner(&own_path).map(|()| listener)) {
         Ok(listener) => listener,
         Err(e) => {
-            tracing::info!(error = %e, path = %shared.display(), "no hand-over at upgrades");
+            tracing::info!(error = %e, path = %shared_path.display(), "no hand-over at upgrades");
             return None;
         }
     };
-    let place = UpgradeSocket { listener, own, shared };
-    let older = timeout(INHERITANCE_TIMEOUT, UnixStream::connect(&place.shared)).await;
-    let Ok(Ok(stream)) = older else { return Some(place) };
-    if !is_own_user(&stream, &place.own) {
-        tracing::warn!(path = %place.shared.display(), "another user's socket: no hand-over");
-        return Some(place);
+    let upgrade_socket = UpgradeSocket { listener, own_path, shared_path };
+    let older = timeout(INHERITANCE_TIMEOUT, UnixStream::connect(&upgrade_socket.shared_path)).await;
+    let Ok(Ok(stream)) = older else { return Some(upgrade_socket) };
+    if !is_same_user(&stream, &upgrade_socket.own_path) {
+        tracing::warn!(path = %upgrade_socket.shared_path.display(), "another user's socket: no hand-over");
+        return Some(upgrade_socket);
     }
-    let told = frontend.borrow().peer_process.inheritance_done.clone();
+    let inheritance_done = frontend.borrow().peer_process.inheritance_done.clone();
     frontend.borrow_mut().peer_process.inheritance = Some(Inheritance::default());
     tokio::task::spawn_local(run_connection(frontend.clone(), stream, Role::Newer));
-    if timeout(INHERITANCE_TIMEOUT, told.notified()).await.is_err() {
-        frontend.borrow_mut().abandon_handover(&"the older process does not say what it knows");
+    if timeout(INHERITANCE_TIMEOUT, inheritance_done.notified()).await.is_err() {
+        frontend.borrow_mut().abandon_inheritance(&"the older process does not say what it knows");
     }
-    Some(place)
+    Some(upgrade_socket)
 }
 
 /// Whether who is at the other end is of the user that owns a file of ours.
-fn is_own_user(stream: &UnixStream, own: &Path) -> bool {
-    let owner = std::fs::metadata(own).map(|m| m.uid());
+fn is_same_user(stream: &UnixStream, own_path: &Path) -> bool {
+    let owner = std::fs::metadata(own_path).map(|m| m.uid());
     stream.peer_cred().is_ok_and(|peer| owner.is_ok_and(|uid| uid == peer.uid()))
 }
 
 /// This process serves: it says so to the older one, and takes newer ones in for ever.
-pub(super) async fn follow(frontend: Shared, place: Option<UpgradeSocket>) {
+pub(super) async fn accept_newer(frontend: SharedFrontend, upgrade_socket: Option<UpgradeSocket>) {
     frontend.borrow_mut().send_to_peer_process(&HandoverMessage::Serving);
-    let Some(UpgradeSocket { listener, own, shared }) = place else { return std::future::pending().await };
+    let Some(UpgradeSocket { listener, own_path, shared_path }) = upgrade_socket else {
+        return std::future::pending().await;
+    };
     // From here on the next process finds this one.
-    if let Err(e) = std::fs::rename(&own, &shared) {
+    if let Err(e) = std::fs::rename(&own_path, &shared_path) {
         tracing::info!(error = %e, "no hand-over at upgrades");
         return std::future::pending().await;
     }
@@ -109,7 +115,7 @@
         match listener.accept().await {
             // One upgrade at a time: whoever comes beside it hears nothing and begins without a hand-over.
             Ok((stream, _))
-                if is_own_user(&stream, &shared) && frontend.borrow().peer_process.outbox.is_none() =>
+                if is_same_user(&stream, &shared_path) && frontend.borrow().peer_process.outbox.is_none() =>
             {
                 frontend.borrow_mut().peer_process.role = Role::Older { is_succeeded: false };
                 tokio::task::spawn_local(run_connection(
@@ -125,27 +131,27 @@
     }
 }
 
-async fn run_connection(frontend: Shared, mut stream: UnixStream, role: Role) {
+async fn run_connection(frontend: SharedFrontend, mut stream: UnixStream, role: Role) {
     let outbox = Rc::new(Outbox::default());
-    frontend.borrow_mut().handle_peer_process(outbox.clone(), role);
+    frontend.borrow_mut().attach_peer_process(outbox.clone(), role);
     let on_bytes = |buffer: &mut BytesMut| {
         while let Some(end) = buffer.iter().position(|b| *b == b'\n') {
-            let word = HandoverMessage::from_line(&buffer[..end]);
+            let message = HandoverMessage::from_line(&buffer[..end]);
             buffer.advance(end + 1);
-            if !word.is_some_and(|word| frontend.borrow_mut().handle_peer_message(word)) {
+            if !message.is_some_and(|message| frontend.borrow_mut().handle_peer_message(message)) {
                 return false;
             }
         }
         buffer.len() < MAX_LINE_BYTES
     };
-    let on_drained = || frontend.borrow_mut().hand_over();
+    let on_drained = || frontend.borrow_mut().hand_over_calls();
     let _ = link::run(&mut stream, &outbox, MESSAGE_TIMEOUT, on_bytes, on_drained).await;
     outbox.flush_without_blocking(&stream);
-    frontend.borrow_mut().handle_peer_process_gone(&outbox);
+    frontend.borrow_mut().handle_peer_process_end(&outbox);
 }
 
 impl PlatformFrontend {
-    fn handle_peer_process(&mut self, outbox: Rc<Outbox>, role: Role) {
+    fn attach_peer_process(&mut self, outbox: Rc<Outbox>, role: Role) {
         self.peer_process.outbox = Some(outbox);
         self.set_role(role);
         if matches!(role, Role::Older { .. }) {
@@ -162,15 +168,15 @@
         self.clients.successor = self.peer_process.outbox.clone().filter(|_| role.has_successor());
     }
 
-    pub(super) fn send_to_peer_process(&mut self, word: &HandoverMessage) {
+    pub(super) fn send_to_peer_process(&mut self, message: &HandoverMessage) {
         if let Some(outbox) = &self.peer_process.outbox {
-            outbox.push(&word.to_line());
+            outbox.push(&message.to_line());
         }
     }
 
     fn send_inheritance(&mut self) {
         let now = clock::now();
-        self.send_to_peer_process(&HandoverMessage::Hello { version: VERSION, seq: self.seq });
+        self.send_to_peer_process(&HandoverMessage::Hello { version: VERSION, seq: self.list_seq });
         for server in self.directory.servers().collect::<Vec<_>>() {
             let known = self.driver.gateway.server_snapshot(server);
             let report = known.last_reported_wait;
@@ -196,9 +202,9 @@
                 self.set_role(Role::Older { is_succeeded: true });
                 self.maintain(clock::now());
             }
-            HandoverMessage::Established(call) => self.adopt(call),
+            HandoverMessage::Established(call) => self.adopt_call(call),
             HandoverMessage::ReleasedByCaller { tag } => {
-                match Tag::new(&tag).and_then(|tag| self.clients.call_of(tag)) {
+                match Tag::parse(&tag).and_then(|tag| self.clients.call_by_tag(tag)) {
                     Some(call) => self.end_call_by_caller(call),
                     None => self.return_message(&HandoverMessage::ReleasedByCaller { tag }),
                 }
@@ -207,7 +213,7 @@
                 self.handle_ended_by_server(server, tag, completed);
             }
             HandoverMessage::PendingRelease { tag, peer, completed } => {
-                if let Some(tag) = Tag::new(&tag) {
+                if let Some(tag) = Tag::parse(&tag) {
                     self.clients.release_for_peer_process(tag, peer, completed);
                 }
             }
@@ -225,11 +231,11 @@
         match inheritance.handle_message(message) {
             InheritanceProgress::Incomplete => self.peer_process.inheritance = Some(inheritance),
             InheritanceProgress::Complete => {
-                self.inherit(inheritance);
+                self.apply_inheritance(inheritance);
                 self.peer_process.inheritance_done.notify_one();
             }
             InheritanceProgress::Refused(error) => {
-                self.abandon_handover(&error);
+                self.abandon_inheritance(&error);
                 return false;
             }
         }
@@ -238,8 +244,8 @@
 
     /// A server ended a call whose end reached the other process.
     fn handle_ended_by_server(&mut self, server: String, tag: String, completed: bool) {
-        let at = self.directory.number(&server).zip(Tag::new(&tag));
-        let attempt = at.and_then(|(server, tag)| self.servers.established_at(CallAtServer { server, tag }));
+        let at = self.directory.number(&server).zip(Tag::parse(&tag));
+        let attempt = at.and_then(|(server, tag)| self.servers.established_attempt(CallKey { server, tag }));
         match attempt {
             Some(attempt) => {
                 let outcome = if completed { Outcome::Completed } else { Outcome::Reset };
@@ -251,17 +257,21 @@
 
     /// Takes over what the older process knows of servers: drains that this one's list does not have yet, servers that do
     /// not answer, and waits told a moment ago.
-    fn inherit(&mut self, told: Inheritance) {
+    fn apply_inheritance(&mut self, inheritance: Inheritance) {
         let now = clock::now();
         // A list older than ours says nothing of drains: a server may have come back since.
-        let as_new = told.seq.is_some_and(|seq| seq >= self.seq);
-        for known in told.servers {
+        let list_is_current = inheritance.seq.is_some_and(|seq| seq >= self.list_seq);
+        for known in inheritance.servers {
             let Some(server) = self.directory.number(&known.server) else { continue };
-            if let (Some(since), true) = (known.draining_for, as_new && self.directory.up(server))
+            if let (Some(since), true) = (known.draining_for, list_is_current && self.directory.up(server))
                 && let Some(line) = self.directory.line(server)
             {
                 let draining = ListedServer { status: ServerStatus::Draining, ..line.clone() };
-                self.handle_list(now.saturating_sub(since), EndpointListScope::Changes, vec![draining]);
+                self.handle_endpoint_list(
+                    now.saturating_sub(since),
+                    EndpointListScope::Changes,
+                    vec![draining],
+                );
             }
             match known.load() {
                 Some(KnownLoad::NoAnswer) => {
@@ -275,8 +285,8 @@
     }
 
     /// Does without the other process.
-    fn abandon_handover(&mut self, why: &dyn std::fmt::Display) {
-        tracing::warn!(why = why.to_string(), "the upgrade's hand-over is left out");
+    fn abandon_inheritance(&mut self, reason: &dyn std::fmt::Display) {
+        tracing::warn!(why = reason.to_string(), "the upgrade's hand-over is left out");
         self.peer_process.inheritance = None;
         self.peer_process.inheritance_done.notify_one();
         if let Some(outbox) = self.peer_process.outbox.take() {
@@ -285,8 +295,8 @@
         self.set_role(Role::Alone);
     }
 
-    fn handle_peer_process_gone(&mut self, outbox: &Rc<Outbox>) {
-        if !self.peer_process.outbox.as_ref().is_some_and(|held| Rc::ptr_eq(held, outbox)) {
+    fn handle_peer_process_end(&mut self, outbox: &Rc<Outbox>) {
+        if !self.peer_process.outbox.as_ref().is_some_and(|current| Rc::ptr_eq(current, outbox)) {
             return;
         }
         tracing::info!("the other process at this address is gone");
@@ -297,17 +307,18 @@
     }
 
     /// A call that stands at the older process is ours from now on.
-    fn adopt(&mut self, standing: EstablishedCall) {
-        let Some(tag) = Tag::new(&standing.tag).filter(|tag| self.clients.call_of(*tag).is_none()) else {
+    fn adopt_call(&mut self, established: EstablishedCall) {
+        let Some(tag) = Tag::parse(&established.tag).filter(|tag| self.clients.call_by_tag(*tag).is_none())
+        else {
             return;
         };
-        let class = self.clients.class_index(&standing.class).unwrap_or(usize::MAX);
-        let Some(server) = self.directory.number(&standing.server) else {
+        let class = self.clients.class_index(&established.class).unwrap_or(usize::MAX);
+        let Some(server) = self.directory.number(&established.server) else {
             // Its server is not in our list: gone, and the call with it.
-            return self.clients.release_for_peer_process(tag, standing.peer, false);
+            return self.clients.release_for_peer_process(tag, established.peer, false);
         };
-        let call = self.clients.adopt(tag, class, standing.peer);
-        let attempt = self.servers.adopt(CallAtServer { server, tag }, call);
+        let call = self.clients.adopt_call(tag, class, established.peer);
+        let attempt = self.servers.adopt_call(CallKey { server, tag }, call);
         let wire_id = tag.to_string().into();
         self.feed(Input::CallAdopted(AdoptedCall { attempt, wire_id, class, server }));
     }
@@ -315,7 +326,7 @@
     /// Hands calls that stand over to the newer process, as many as it reads at once. A call at a server that drains
     /// stays: such a server listens no more, so the newer process gets no connection on which it could hear of the
     /// call's end, and takes the refused dial for the server's end.
-    pub(super) fn hand_over(&mut self) {
+    pub(super) fn hand_over_calls(&mut self) {
         if !self.driver.serving_state.is_handing_over() {
             return;
         }
@@ -324,26 +335,26 @@
             if outbox.queued_bytes() > MAX_UNREAD_BYTES {
                 return; // the rest follows when this is written
             }
-            self.hand_over_one(call, &outbox);
+            self.hand_over_call(call, &outbox);
         }
     }
 
-    fn hand_over_one(&mut self, call: CallId, outbox: &Outbox) {
-        let (Some(caller), Some(CallAtServer { server, tag })) =
-            (self.clients.caller(call), self.servers.call_at_server(call))
+    fn hand_over_call(&mut self, call: CallId, outbox: &Outbox) {
+        let (Some(caller), Some(CallKey { server, tag })) =
+            (self.clients.caller(call), self.servers.call_key(call))
         else {
             return;
         };
         if !self.directory.up(server) {
             return;
         }
-        let word = HandoverMessage::Established(EstablishedCall {
+        let message = HandoverMessage::Established(EstablishedCall {
             tag: tag.to_string(),
             server: self.directory.name(server).to_string(),
             class: self.clients.class_name(caller.class).to_string(),
             peer: caller.peer,
         });
-        if outbox.push(&word.to_line()).is_some() {
+        if outbox.push(&message.to_line()).is_some() {
             self.servers.remove_call(call);
             self.clients.remove_call(call);
             self.feed(Input::CallHandedOver(call));
--- a/src/platform/line.rs
+++ b/src/platform/line.rs
@@ -22,14 +22,14 @@
 
 impl Tag {
     /// Reads a tag.
-    pub fn new(text: &str) -> Option<Tag> {
+    pub fn parse(text: &str) -> Option<Tag> {
         let digits: [u8; 16] = text.as_bytes().try_into().ok()?;
         digits.iter().all(u8::is_ascii_hexdigit).then_some(Tag(digits))
     }
 
     /// A tag of our own making.
-    pub fn of(number: u64) -> Tag {
-        Tag::new(&format!("{number:016x}")).expect("sixteen digits")
+    pub fn from_u64(number: u64) -> Tag {
+        Tag::parse(&format!("{number:016x}")).expect("sixteen digits")
     }
 }
 
@@ -79,9 +79,9 @@
     /// Failed, or cut.
     pub const TEMPORARY_FAILURE: i64 = 41;
     /// A field of the message cannot be read.
-    pub const BAD_FIELD: i64 = 100;
+    pub const INVALID_FIELD: i64 = 100;
     /// Moot: it never left.
-    pub const MOOT: i64 = 102;
+    pub const NOT_SENT: i64 = 102;
 }
 
 /// One message, decoded as far as it could be.
@@ -92,11 +92,11 @@
     /// Its call, or the test's own name.
     pub tag: Option<Tag>,
     /// Its fields, as JSON; `None` if they are no object.
-    opts: Option<BTreeMap<String, Box<RawValue>>>,
+    fields: Option<BTreeMap<String, Box<RawValue>>>,
     /// Its cause; `None` if it has none or it is no number.
     pub cause: Option<i64>,
     /// Its description, as JSON.
-    pub blob: Option<Bytes>,
+    pub description: Option<Bytes>,
 }
 
 #[derive(Deserialize)]
@@ -130,31 +130,31 @@
     };
     Some(Line {
         verb,
-        tag: raw.tag.and_then(text).and_then(|t| Tag::new(&t)),
-        opts: match raw.opts {
-            Some(opts) => serde_json::from_str(opts.get()).ok(),
+        tag: raw.tag.and_then(text).and_then(|t| Tag::parse(&t)),
+        fields: match raw.opts {
+            Some(fields) => serde_json::from_str(fields.get()).ok(),
             None => Some(BTreeMap::new()),
         },
-        cause: raw.rc.and_then(|rc| number(rc.get())).map(|rc| rc as i64),
-        blob: raw.blob.map(|b| Bytes::copy_from_slice(b.get().as_bytes())),
+        cause: raw.rc.and_then(|rc| parse_number(rc.get())).map(|rc| rc as i64),
+        description: raw.blob.map(|b| Bytes::copy_from_slice(b.get().as_bytes())),
     })
 }
 
 /// A number that may stand in a string.
-fn number(json: &str) -> Option<f64> {
+fn parse_number(json: &str) -> Option<f64> {
     let inner = json.strip_prefix('"').and_then(|j| j.strip_suffix('"')).unwrap_or(json);
     inner.trim().parse::<f64>().ok().filter(|n| n.is_finite())
 }
 
 impl Line {
     /// Whether the fields are readable at all.
-    pub fn has_fields(&self) -> bool {
-        self.opts.is_some()
+    pub fn has_valid_fields(&self) -> bool {
+        self.fields.is_some()
     }
 
     /// A field as it stands on the wire.
     pub fn raw(&self, key: &str) -> Option<&str> {
-        self.opts.as_ref()?.get(key).map(|v| v.get())
+        self.fields.as_ref()?.get(key).map(|v| v.get())
     }
 
     /// A field as text.
@@ -165,15 +165,15 @@
 
     /// A field as a number.
     pub fn number(&self, key: &str) -> Option<f64> {
-        number(self.raw(key)?)
+        parse_number(self.raw(key)?)
     }
 
     /// The load report, as in `x0:12;x1:40;queue:3`. Figures below 0 say nothing.
-    pub fn load(&self) -> LoadReport {
+    pub fn load_report(&self) -> LoadReport {
         let mut load = LoadReport::default();
-        for (key, value) in figures(&self.text("load").unwrap_or_default()) {
-            let figure = value.parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0);
-            let place = match key {
+        for (key, value) in key_value_pairs(&self.text("load").unwrap_or_default()) {
+            let parsed = value.parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0);
+            let field = match key {
                 "x0" | "spare" => &mut load.free_lines,
                 "x1" | "total" => &mut load.total_lines,
                 "latency_ms" | "avg_ms" => &mut load.queue_wait_ms,
@@ -184,14 +184,14 @@
                 "eps" | "cut_by" => &mut load.requested_reduction,
                 _ => continue,
             };
-            *place = figure;
+            *field = parsed;
         }
         load
     }
 }
 
 /// The pairs of `a:1;b:2`.
-pub fn figures(text: &str) -> impl Iterator<Item = (&str, &str)> {
+pub fn key_value_pairs(text: &str) -> impl Iterator<Item = (&str, &str)> {
     text.split(';').filter_map(|pair| pair.split_once(':')).map(|(k, v)| (k.trim(), v.trim()))
 }
 
@@ -199,13 +199,13 @@
 pub fn encode(
     verb: &str,
     tag: Tag,
-    opts: &[(&str, &str)],
+    fields: &[(&str, &str)],
     cause: Option<i64>,
-    blob: Option<&[u8]>,
+    description: Option<&[u8]>,
 ) -> Vec<u8> {
     let mut line = String::with_capacity(128);
     let _ = write!(line, "{{\"verb\":\"{verb}\",\"tag\":\"{tag}\",\"opts\":{{");
-    for (n, (key, value)) in opts.iter().enumerate() {
+    for (n, (key, value)) in fields.iter().enumerate() {
         let _ = write!(line, "{}\"{key}\":{value}", if n > 0 { "," } else { "" });
     }
     line.push('}');
@@ -213,9 +213,9 @@
         let _ = write!(line, ",\"rc\":{cause}");
     }
     let mut bytes = line.into_bytes();
-    if let Some(blob) = blob {
+    if let Some(description) = description {
         bytes.extend_from_slice(b",\"blob\":");
-        bytes.extend_from_slice(blob);
+        bytes.extend_from_slice(description);
     }
     bytes.extend_from_slice(b"}\n");
     bytes
@@ -232,20 +232,20 @@
     Broken,
 }
 
-/// Takes the next line out of a buffer; `seen` remembers how much of it holds no line end.
-pub fn next(buffer: &mut BytesMut, seen: &mut usize) -> Next {
+/// Takes the next line out of a buffer; `scanned` remembers how much of it holds no line end.
+pub fn next(buffer: &mut BytesMut, scanned: &mut usize) -> Next {
     loop {
-        let end = buffer[*seen..].iter().position(|b| *b == b'\n').map(|n| n + *seen);
+        let end = buffer[*scanned..].iter().position(|b| *b == b'\n').map(|n| n + *scanned);
         if end.unwrap_or(buffer.len()) > MAX_LINE_BYTES {
             return Next::Broken;
         }
         let Some(end) = end else {
-            *seen = buffer.len();
+            *scanned = buffer.len();
             return Next::More;
         };
         let decoded = (!buffer[..end].trim_ascii().is_empty()).then(|| decode(&buffer[..end]));
         buffer.advance(end + 1);
-        *seen = 0;
+        *scanned = 0;
         match decoded {
             None => continue, // a blank line
             Some(Some(line)) => return Next::Line(line),
@@ -257,9 +257,9 @@
 /// A connection's reader: gives `on_line` each message that has come whole, until one cannot be read or
 /// `on_line` returns false.
 pub fn reader(mut on_line: impl FnMut(Line) -> bool) -> impl FnMut(&mut BytesMut) -> bool {
-    let mut seen = 0;
+    let mut scanned = 0;
     move |buffer| loop {
-        match next(buffer, &mut seen) {
+        match next(buffer, &mut scanned) {
             Next::More => return true,
             Next::Broken => return false,
             Next::Line(line) => {
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -43,14 +43,14 @@
     directory: Directory,
     peer_process: handover::PeerProcess,
     /// The number of the list's last event.
-    seq: u32,
+    list_seq: u32,
     /// False once no more callers are to be taken in.
     is_listening: watch::Sender<bool>,
-    me: Weak<RefCell<PlatformFrontend>>,
+    weak_self: Weak<RefCell<PlatformFrontend>>,
     last_connection: ConnectionId,
 }
 
-type Shared = Rc<RefCell<PlatformFrontend>>;
+type SharedFrontend = Rc<RefCell<PlatformFrontend>>;
 
 /// The clients' address cannot be listened on.
 #[derive(Debug, thiserror::Error)]
@@ -70,19 +70,19 @@
 ) -> Result<(), ListenError> {
     let frontend = PlatformFrontend::start(&config, plan.borrow().clone());
     for (scope, list) in config.known.clone() {
-        frontend.borrow_mut().handle_list(clock::now(), scope, list);
+        frontend.borrow_mut().handle_endpoint_list(clock::now(), scope, list);
     }
-    let place = handover::meet(&frontend, config.listen).await;
+    let upgrade_socket = handover::receive_from_older(&frontend, config.listen).await;
     let listener = link::listen(config.listen);
-    let failed = |source| ListenError { address: config.listen, source };
-    let listener = listener.map_err(failed)?;
-    let address = listener.local_addr().map_err(failed)?;
+    let listen_error = |source| ListenError { address: config.listen, source };
+    let listener = listener.map_err(listen_error)?;
+    let address = listener.local_addr().map_err(listen_error)?;
     tracing::info!(name = config.name, listen = %address, "serves");
     let tasks = async {
         tokio::join!(
             clients::accept(frontend.clone(), listener),
-            handover::follow(frontend.clone(), place),
-            follow_list(frontend.clone(), resolver, config.seq),
+            handover::accept_newer(frontend.clone(), upgrade_socket),
+            follow_endpoint_list(frontend.clone(), resolver, config.seq),
             driver::follow_limits(&frontend, plan)
         )
     };
@@ -90,42 +90,42 @@
     Ok(())
 }
 
-async fn follow_list(frontend: Shared, server: watch::Receiver<SocketAddr>, seq: u32) {
+async fn follow_endpoint_list(frontend: SharedFrontend, server: watch::Receiver<SocketAddr>, seq: u32) {
     let service = resolver::Service::Srv("_back._tcp.pool.lan.".to_string());
-    let heard = frontend.borrow().driver.last_list_response_at.clone();
-    resolver::follow(server, service, Some(seq), &heard, |asked, serial, list| {
+    let last_list_response_at = frontend.borrow().driver.last_list_response_at.clone();
+    resolver::follow(server, service, Some(seq), &last_list_response_at, |queried_at, serial, list| {
         let mut frontend = frontend.borrow_mut();
-        frontend.seq = serial.unwrap_or(frontend.seq);
-        frontend.handle_list(asked, EndpointListScope::Complete, list);
+        frontend.list_seq = serial.unwrap_or(frontend.list_seq);
+        frontend.handle_endpoint_list(queried_at, EndpointListScope::Complete, list);
     })
     .await;
 }
 
 impl PlatformFrontend {
-    fn start(config: &Config, plan: Option<Rc<Plan>>) -> Shared {
+    fn start(config: &Config, plan: Option<Rc<Plan>>) -> SharedFrontend {
         let limits = Limiter::from_plan_or_settings(plan, &config.settings, &config.classes, config.seed);
         let longest_wait = config.max_waits.iter().copied().max().unwrap_or(0);
         let gateway = Gateway::with_limits(config.settings.clone(), limits, config.seed);
         let driver = Driver::new(gateway, config.classes.clone(), longest_wait);
         let trace = driver.trace.clone();
         let classes = config.classes.clone();
-        Rc::new_cyclic(|me| {
+        Rc::new_cyclic(|weak_self| {
             RefCell::new(PlatformFrontend {
                 driver,
                 clients: Clients::new(classes, longest_wait, config.sockets / 2, trace),
                 servers: Servers::new(config.dial_timeout, config.seed),
                 directory: Directory::default(),
                 peer_process: handover::PeerProcess::default(),
-                seq: config.seq,
+                list_seq: config.seq,
                 is_listening: watch::Sender::new(true),
-                me: me.clone(),
+                weak_self: weak_self.clone(),
                 last_connection: 1,
             })
         })
     }
 
-    fn shared(&self) -> Shared {
-        self.me.upgrade().expect("the frontend is only reached through its shared handle")
+    fn shared(&self) -> SharedFrontend {
+        self.weak_self.upgrade().expect("the frontend is only reached through its shared handle")
     }
 
     fn new_connection_id(&mut self) -> ConnectionId {
@@ -140,14 +140,19 @@
         }
     }
 
-    fn handle_list(&mut self, notified_at: Micros, scope: EndpointListScope, list: Vec<ListedServer>) {
+    fn handle_endpoint_list(
+        &mut self,
+        notified_at: Micros,
+        scope: EndpointListScope,
+        list: Vec<ListedServer>,
+    ) {
         let now = clock::now();
         self.driver.list_received_at = Some(now);
         let (entries, changes) = self.directory.apply(scope, list);
         for server in self.directory.servers().collect::<Vec<_>>() {
             // It is another process: what the one before held is cut, and nothing of what comes now. Guards against the end
             // of the old one's last releases taking the new one's calls with it.
-            if let Some(at) = self.servers.take_returned(server) {
+            if let Some(at) = self.servers.take_relisted(server) {
                 self.feed(Input::ServerTerminated { server, at });
             }
         }
@@ -193,9 +198,9 @@
             Command::CancelAttempt { attempt, .. } => self.servers.cancel_attempt(attempt),
             Command::ReleaseAtServer { attempt, server } => self.release_at_server(attempt, server),
             Command::Accept { call, description } => {
-                self.servers.establish(call);
+                self.servers.mark_established(call);
                 self.clients.accept_call(call, &description);
-                self.hand_over();
+                self.hand_over_calls();
             }
             Command::Reject { call, retry_after } => self.clients.reject_call(call, retry_after),
             Command::Fail { call } => self.clients.fail_call(call),
@@ -217,7 +222,7 @@
         self.maintain_servers(now);
         if self.driver.serving_state.is_handing_over() {
             self.is_listening.send_replace(false);
-            self.hand_over();
+            self.hand_over_calls();
         }
         self.close_idle_clients(now);
     }
--- a/src/platform/servers/attempts.rs
+++ b/src/platform/servers/attempts.rs
@@ -11,7 +11,7 @@
 use super::super::PlatformFrontend;
 use super::super::line::Tag;
 use super::connection::{QueuedMessage, QueuedSetup};
-use super::{AttemptSlot, CallAtServer, MAX_RELEASES, Servers};
+use super::{AttemptEntry, CallKey, MAX_RELEASES, Servers};
 
 impl PlatformFrontend {
     /// Sends an attempt, now or as soon as a connection takes it.
@@ -29,26 +29,26 @@
             expires_at: now + time_left,
             tag: caller.tag,
             class: caller.class,
-            class_text: caller.class_text.clone(),
-            key: caller.key.clone(),
+            class_json: caller.class_json.clone(),
+            number_json: caller.number_json.clone(),
             description,
         };
-        let at = CallAtServer { server, tag: setup.tag };
-        let Some(id) = self.usable_connection(server, at.tag, now) else {
+        let key = CallKey { server, tag: setup.tag };
+        let Some(id) = self.usable_connection(server, key.tag, now) else {
             let (outcome, cause, load) = (Outcome::Unreachable, Cause::Unspecified, LoadReport::default());
             return self.driver.inputs.push_back(Input::AttemptEnded { attempt, outcome, cause, load });
         };
-        let slot = AttemptSlot { attempt, connection: id, is_established: false };
-        self.servers.attempts.insert(at, slot);
-        self.servers.by_call.insert(attempt.call, at);
+        let entry = AttemptEntry { attempt, connection: id, is_established: false };
+        self.servers.attempts.insert(key, entry);
+        self.servers.by_call.insert(attempt.call, key);
         self.driver.trace.record(now, attempt.call, TraceStep::AttemptOn(id));
         self.servers.queue(id, QueuedMessage::Setup(setup));
     }
 
     /// Releases an established call at its server, on any connection.
     pub(in crate::platform) fn release_at_server(&mut self, attempt: AttemptId, server: ServerId) {
-        if let Some(at) = self.servers.remove_call(attempt.call) {
-            self.send_release(server, at.tag);
+        if let Some(key) = self.servers.remove_call(attempt.call) {
+            self.send_release(server, key.tag);
         }
     }
 
@@ -98,13 +98,15 @@
 impl Servers {
     /// Cancels an attempt that has no answer.
     pub(in crate::platform) fn cancel_attempt(&mut self, attempt: AttemptId) {
-        let Some(at) = self.call_at_server(attempt.call) else { return };
-        let slot = self.attempts.get(&at);
-        let Some(slot) = slot.filter(|slot| slot.attempt == attempt && !slot.is_established) else { return };
-        let id = slot.connection;
+        let Some(key) = self.call_key(attempt.call) else { return };
+        let entry = self.attempts.get(&key);
+        let Some(entry) = entry.filter(|entry| entry.attempt == attempt && !entry.is_established) else {
+            return;
+        };
+        let id = entry.connection;
         self.remove_call(attempt.call);
         if let Some(connection) = self.connections.get_mut(&id) {
-            connection.cancel(attempt, at.tag);
+            connection.cancel(attempt, key.tag);
         }
     }
 
@@ -129,8 +131,8 @@
                 QueuedMessage::HealthCheck(_) | QueuedMessage::Release(_) => true,
             });
             for tag in connection.unanswered.keys().copied().collect::<Vec<_>>() {
-                let slot = attempts.get(&CallAtServer { server, tag });
-                unsent.extend(slot.filter(|_| connection.withdraw(tag)).map(|slot| slot.attempt));
+                let entry = attempts.get(&CallKey { server, tag });
+                unsent.extend(entry.filter(|_| connection.withdraw(tag)).map(|entry| entry.attempt));
             }
         }
         unsent
--- a/src/platform/servers/connection.rs
+++ b/src/platform/servers/connection.rs
@@ -12,13 +12,13 @@
 use crate::{Micros, ServerId};
 
 use super::super::line::{Tag, cause, encode};
-use super::{CANCELLED_MEMORY, MAX_RELEASES};
+use super::{CANCELLED_RETENTION, MAX_RELEASES};
 
 /// A connection from which an answer is awaited and nothing at all was heard for this long may be cut: cut links are silent. A
 /// new one is dialled beside it, which settles the matter.
-const QUIET_AFTER: Micros = 1_500_000;
+const SUSPECT_AFTER: Micros = 1_500_000;
 /// A release that the server has not confirmed counts as confirmed after this, if its connection is still open.
-const RELEASE_MEMORY: Micros = 8_000_000;
+const RELEASE_RETENTION: Micros = 8_000_000;
 
 /// An attempt that waits for its connection.
 pub(super) struct QueuedSetup {
@@ -28,9 +28,9 @@
     /// Its class's place in the settings.
     pub class: usize,
     /// The class as it goes out, in JSON.
-    pub class_text: Box<str>,
+    pub class_json: Box<str>,
     /// The number called as it goes out, in JSON.
-    pub key: Box<str>,
+    pub number_json: Box<str>,
     pub description: Bytes,
 }
 
@@ -42,7 +42,7 @@
 }
 
 /// A call's id on the wire, and when something happened to it.
-pub(super) struct TagAt {
+pub(super) struct TimedTag {
     pub at: Micros,
     pub tag: Tag,
 }
@@ -67,9 +67,9 @@
     pub awaiting_since: Option<Micros>,
     pub unwritten: VecDeque<UnwrittenSetup>,
     /// Attempts cancelled on it, whose answers may still come.
-    pub cancelled: VecDeque<TagAt>,
+    pub cancelled: VecDeque<TimedTag>,
     /// Releases written on it that the server has not confirmed.
-    pub unconfirmed_releases: VecDeque<TagAt>,
+    pub unconfirmed_releases: VecDeque<TimedTag>,
     /// When the server last reported its state on it unasked.
     pub last_report_at: Option<Micros>,
     /// Since when nothing was heard on it, for as long as this process listened.
@@ -77,7 +77,7 @@
     /// How long that may be; `None`: the server has no heartbeat.
     pub max_silence: Option<Micros>,
     /// When anything was last heard on it.
-    pub last_heard_at: Micros,
+    pub last_received_at: Micros,
     /// When a health check was last sent for want of any sign of life; 0: not since it was heard.
     pub last_checked_at: Micros,
     /// It was closed to make way for another, which is dialled once it has ended.
@@ -105,7 +105,7 @@
             last_report_at: None,
             silent_since: now,
             max_silence,
-            last_heard_at: now,
+            last_received_at: now,
             last_checked_at: 0,
             is_replaced: false,
             dialled_at: None,
@@ -114,8 +114,8 @@
     }
 
     /// Whether it may be cut: an answer is long awaited, or its heartbeat has stopped.
-    pub fn is_quiet(&self, now: Micros) -> bool {
-        self.awaiting_since.is_some_and(|since| now > since + QUIET_AFTER) || self.has_lost_heartbeat(now)
+    pub fn is_suspect(&self, now: Micros) -> bool {
+        self.awaiting_since.is_some_and(|since| now > since + SUSPECT_AFTER) || self.has_lost_heartbeat(now)
     }
 
     /// The server reports its state unasked on every connection, and has missed to do so on this one: it is cut, whatever the
@@ -126,7 +126,7 @@
 
     /// Whether new messages may go out on it.
     pub fn is_usable(&self, now: Micros) -> bool {
-        !self.is_retired && self.outbox.is_open() && !self.is_quiet(now)
+        !self.is_retired && self.outbox.is_open() && !self.is_suspect(now)
     }
 
     /// Whether it is up and nothing is open or queued on it.
@@ -135,7 +135,7 @@
     }
 
     /// Whether it was dialled at this time or later, or still is to be.
-    pub fn is_dialled_since(&self, from: Micros) -> bool {
+    pub fn was_dialled_since(&self, from: Micros) -> bool {
         self.dialled_at.is_none_or(|at| at >= from)
     }
 
@@ -155,7 +155,9 @@
 
     /// Whether an attempt of this id was cancelled on it of late.
     pub fn has_cancelled(&self, tag: Tag, now: Micros) -> bool {
-        self.cancelled.iter().any(|cancelled| cancelled.tag == tag && now < cancelled.at + CANCELLED_MEMORY)
+        self.cancelled
+            .iter()
+            .any(|cancelled| cancelled.tag == tag && now < cancelled.at + CANCELLED_RETENTION)
     }
 
     /// Cancels an attempt: it is taken back if it was not written yet, else the server is told.
@@ -167,20 +169,20 @@
         }
         let now = clock::now();
         self.unanswered.remove(&tag);
-        self.forget_old(now);
-        self.cancelled.push_back(TagAt { at: now, tag });
+        self.expire_cancelled(now);
+        self.cancelled.push_back(TimedTag { at: now, tag });
         self.outbox.push(&encode("FINISH", tag, &[], Some(cause::NORMAL), None));
     }
 
     /// Forgets cancelled attempts whose answer will not come any more.
-    fn forget_old(&mut self, now: Micros) {
-        self.cancelled.retain(|cancelled| now < cancelled.at + CANCELLED_MEMORY);
+    fn expire_cancelled(&mut self, now: Micros) {
+        self.cancelled.retain(|cancelled| now < cancelled.at + CANCELLED_RETENTION);
     }
 
     /// Forgets what counts as answered or confirmed by now.
-    pub fn forget_confirmed(&mut self, now: Micros) {
-        self.forget_old(now);
-        self.unconfirmed_releases.retain(|release| now < release.at + RELEASE_MEMORY);
+    pub fn expire_confirmed(&mut self, now: Micros) {
+        self.expire_cancelled(now);
+        self.unconfirmed_releases.retain(|release| now < release.at + RELEASE_RETENTION);
     }
 
     /// Moves queued messages to the outbox, as long as its peer reads.
@@ -207,8 +209,8 @@
 
     fn push_setup(&mut self, now: Micros, setup: &QueuedSetup) {
         self.awaiting_since.get_or_insert(now);
-        let left_ms = format!("\"{}\"", setup.expires_at.saturating_sub(now) / 1000);
-        let fields = [("class", &*setup.class_text), ("left", &*left_ms), ("key", &*setup.key)];
+        let time_left_ms = format!("\"{}\"", setup.expires_at.saturating_sub(now) / 1000);
+        let fields = [("class", &*setup.class_json), ("left", &*time_left_ms), ("key", &*setup.number_json)];
         let message = encode("START", setup.tag, &fields, None, Some(&setup.description));
         if let Some(ticket) = self.outbox.push(&message) {
             self.unanswered.insert(setup.tag, ticket);
@@ -220,7 +222,7 @@
         if self.unconfirmed_releases.len() >= MAX_RELEASES {
             self.unconfirmed_releases.pop_front();
         }
-        self.unconfirmed_releases.push_back(TagAt { at: now, tag });
+        self.unconfirmed_releases.push_back(TimedTag { at: now, tag });
         self.outbox.push(&encode("FINISH", tag, &[], Some(cause::NORMAL), None));
     }
 }
--- a/src/platform/servers/mod.rs
+++ b/src/platform/servers/mod.rs
@@ -34,11 +34,11 @@
 /// dropped: the server ends that call by itself.
 const MAX_RELEASES: usize = 10_000;
 /// How long an answer to a cancelled attempt may still come in on its connection.
-const CANCELLED_MEMORY: Micros = 10_000_000;
+const CANCELLED_RETENTION: Micros = 10_000_000;
 
 /// What a call has at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(super) struct CallAtServer {
+pub(super) struct CallKey {
     /// The server.
     pub server: ServerId,
     /// The call's id on the wire.
@@ -46,7 +46,7 @@
 }
 
 /// An attempt in flight, or established.
-struct AttemptSlot {
+struct AttemptEntry {
     attempt: AttemptId,
     connection: ConnectionId,
     is_established: bool,
@@ -56,22 +56,22 @@
 pub struct Servers {
     dial_timeout: Duration,
     connections: BTreeMap<ConnectionId, ServerConnection>,
-    attempts: HashMap<CallAtServer, AttemptSlot>,
-    by_call: HashMap<CallId, CallAtServer>,
+    attempts: HashMap<CallKey, AttemptEntry>,
+    by_call: HashMap<CallId, CallKey>,
     health_checks: HashMap<Tag, HealthCheck>,
     /// Seed of the next health check's id.
-    next_health_check: u64,
+    health_check_seed: u64,
     backoffs: BTreeMap<ServerId, Backoff>,
     heartbeats: BTreeMap<ServerId, HeartbeatMonitor>,
     /// When the connections were last maintained.
     last_maintained_at: Micros,
     /// When a server was last heard on any connection.
-    last_heard_at: BTreeMap<ServerId, Micros>,
+    last_received_at: BTreeMap<ServerId, Micros>,
     /// Releases for servers that cannot be reached now.
     pending_releases: BTreeMap<ServerId, VecDeque<Tag>>,
     /// Servers on whose ended connections ends of calls may have been lost. A connection that is dialled at this time or later
     /// hears them again.
-    redial_to_hear_from: BTreeMap<ServerId, Micros>,
+    redial_from: BTreeMap<ServerId, Micros>,
     removed: BTreeMap<ServerId, RemovedServer>,
 }
 
@@ -83,57 +83,57 @@
             attempts: HashMap::new(),
             by_call: HashMap::new(),
             health_checks: HashMap::new(),
-            next_health_check: seed,
+            health_check_seed: seed,
             backoffs: BTreeMap::new(),
             heartbeats: BTreeMap::new(),
             last_maintained_at: 0,
-            last_heard_at: BTreeMap::new(),
+            last_received_at: BTreeMap::new(),
             pending_releases: BTreeMap::new(),
-            redial_to_hear_from: BTreeMap::new(),
+            redial_from: BTreeMap::new(),
             removed: BTreeMap::new(),
         }
     }
 
     /// What a call has at a server.
-    pub(super) fn call_at_server(&self, call: CallId) -> Option<CallAtServer> {
+    pub(super) fn call_key(&self, call: CallId) -> Option<CallKey> {
         self.by_call.get(&call).copied()
     }
 
     /// The attempt by which a call is established at a server.
-    pub(super) fn established_at(&self, at: CallAtServer) -> Option<AttemptId> {
-        self.attempts.get(&at).filter(|slot| slot.is_established).map(|slot| slot.attempt)
+    pub(super) fn established_attempt(&self, key: CallKey) -> Option<AttemptId> {
+        self.attempts.get(&key).filter(|entry| entry.is_established).map(|entry| entry.attempt)
     }
 
     /// Records that a call's attempt is established.
-    pub(super) fn establish(&mut self, call: CallId) {
-        let slot = self.by_call.get(&call).and_then(|at| self.attempts.get_mut(at));
-        if let Some(slot) = slot {
-            slot.is_established = true;
+    pub(super) fn mark_established(&mut self, call: CallId) {
+        let entry = self.by_call.get(&call).and_then(|key| self.attempts.get_mut(key));
+        if let Some(entry) = entry {
+            entry.is_established = true;
         }
     }
 
     /// Records a call that is established by another process's attempt; no connection of ours has to do with that.
-    pub(super) fn adopt(&mut self, at: CallAtServer, call: CallId) -> AttemptId {
+    pub(super) fn adopt_call(&mut self, key: CallKey, call: CallId) -> AttemptId {
         let attempt = AttemptId { call, number: 0 };
-        let slot = AttemptSlot { attempt, connection: super::NO_CONNECTION, is_established: true };
-        self.attempts.insert(at, slot);
-        self.by_call.insert(call, at);
+        let entry = AttemptEntry { attempt, connection: super::NO_CONNECTION, is_established: true };
+        self.attempts.insert(key, entry);
+        self.by_call.insert(call, key);
         attempt
     }
 
     /// Removes what a call has at a server.
-    pub(super) fn remove_call(&mut self, call: CallId) -> Option<CallAtServer> {
-        let at = self.by_call.remove(&call)?;
-        self.attempts.remove(&at);
-        Some(at)
+    pub(super) fn remove_call(&mut self, call: CallId) -> Option<CallKey> {
+        let key = self.by_call.remove(&call)?;
+        self.attempts.remove(&key);
+        Some(key)
     }
 
     fn has_established_calls(&self, server: ServerId) -> bool {
-        self.attempts.iter().any(|(at, slot)| at.server == server && slot.is_established)
+        self.attempts.iter().any(|(key, entry)| key.server == server && entry.is_established)
     }
 
     fn has_calls(&self, server: ServerId) -> bool {
-        self.attempts.keys().any(|at| at.server == server)
+        self.attempts.keys().any(|key| key.server == server)
     }
 
     fn connections_of(&self, server: ServerId) -> impl Iterator<Item = (ConnectionId, &ServerConnection)> {
--- a/src/platform/servers/pool.rs
+++ b/src/platform/servers/pool.rs
@@ -15,15 +15,15 @@
 
 use super::super::heartbeat_monitor::HeartbeatMonitor;
 use super::super::line::{Line, Tag, reader};
-use super::super::{ConnectionId, PlatformFrontend, Shared};
-use super::CallAtServer;
+use super::super::{ConnectionId, PlatformFrontend, SharedFrontend};
+use super::CallKey;
 use super::connection::{QueuedMessage, ServerConnection};
 
 /// A server's message that has begun comes whole within this: servers write messages at once, and calls whose answers are stuck
 /// behind half a line are lost time.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(200);
 /// A server has seen the end of a connection by then.
-const CLOSE_SEEN_AFTER: Micros = 50_000;
+const CLOSE_PROPAGATION_TIME: Micros = 50_000;
 /// A connection that we close has ended after so many turns of the loop; it waits for nobody.
 const CLOSE_TURNS: usize = 64;
 /// First and longest delay between dials to a server that cannot be reached.
@@ -32,7 +32,7 @@
 /// Maximum number of connections to one server at a time.
 const MAX_CONNECTIONS: usize = 3;
 /// An older connection than the newest is as good if something was heard on it this lately: servers report their state unasked.
-const RECENTLY_HEARD: Micros = 500_000;
+const RECENT_MESSAGE_AGE: Micros = 500_000;
 
 /// The delay before the next dial to a server that could not be reached.
 pub(super) struct Backoff {
@@ -41,7 +41,7 @@
 }
 
 async fn run_connection(
-    frontend: Shared,
+    frontend: SharedFrontend,
     id: ConnectionId,
     address: SocketAddr,
     dial_timeout: Duration,
@@ -57,7 +57,7 @@
     frontend.borrow_mut().handle_connection_up(id);
     tracing::debug!(target: "link", id, %address, "a server's connection is up");
     let on_line = |line: Line| {
-        frontend.borrow_mut().handle_server_line(id, line);
+        frontend.borrow_mut().handle_server_message(id, line);
         true
     };
     let on_drained = || {
@@ -83,14 +83,15 @@
     ) -> Option<ConnectionId> {
         let active = self.servers.connections.iter().rev();
         let active = active.filter(|(_, connection)| connection.server == server && !connection.is_retired);
-        let is_fit = |position: usize, connection: &ServerConnection| {
-            let is_recent = position == 0 || now < connection.last_heard_at + RECENTLY_HEARD;
+        let is_eligible = |position: usize, connection: &ServerConnection| {
+            let is_recent = position == 0 || now < connection.last_received_at + RECENT_MESSAGE_AGE;
             connection.is_usable(now) && !connection.has_cancelled(tag, now) && is_recent
         };
-        let fit = active.enumerate().filter(|(position, (_, connection))| is_fit(*position, connection));
-        let fit: Vec<(ConnectionId, bool)> =
-            fit.map(|(_, (id, connection))| (*id, connection.is_up)).collect();
-        let best = fit.iter().find(|(_, is_up)| *is_up).or(fit.first());
+        let eligible =
+            active.enumerate().filter(|(position, (_, connection))| is_eligible(*position, connection));
+        let eligible: Vec<(ConnectionId, bool)> =
+            eligible.map(|(_, (id, connection))| (*id, connection.is_up)).collect();
+        let best = eligible.iter().find(|(_, is_up)| *is_up).or(eligible.first());
         best.map(|(id, _)| *id).or_else(|| self.dial(server, now))
     }
 
@@ -123,7 +124,7 @@
     /// Closes the idle connection that was heard least lately; `None`: there is none.
     fn replace_idle_connection(&mut self, server: ServerId) -> Option<ConnectionId> {
         let idle = self.servers.connections_of(server).filter(|(_, connection)| connection.is_idle());
-        let (id, _) = idle.min_by_key(|(_, connection)| connection.last_heard_at)?;
+        let (id, _) = idle.min_by_key(|(_, connection)| connection.last_received_at)?;
         let connection = self.servers.connections.get_mut(&id)?;
         connection.outbox.close();
         connection.is_replaced = true;
@@ -134,13 +135,13 @@
         let now = clock::now();
         let Some(connection) = self.servers.connections.get_mut(&id) else { return };
         connection.is_up = true;
-        connection.last_heard_at = now;
+        connection.last_received_at = now;
         connection.silent_since = now;
         let server = connection.server;
         self.servers.backoffs.remove(&server);
-        let redial_from = self.servers.redial_to_hear_from.get(&server);
-        if redial_from.is_some_and(|from| connection.is_dialled_since(*from)) {
-            self.servers.redial_to_hear_from.remove(&server);
+        let redial_from = self.servers.redial_from.get(&server);
+        if redial_from.is_some_and(|from| connection.was_dialled_since(*from)) {
+            self.servers.redial_from.remove(&server);
         }
         let pending = self.servers.pending_releases.remove(&server).unwrap_or_default();
         connection.queued.extend(pending.into_iter().map(QueuedMessage::Release));
@@ -156,8 +157,8 @@
         backoff.not_before = now + backoff.delay;
         backoff.delay = (backoff.delay * 2).min(MAX_BACKOFF);
         let name = self.directory.name(server);
-        let why = error.map_or("timed out".into(), |e| e.to_string());
-        tracing::info!(server = name, address = %connection.address, error = why, "dial failed");
+        let reason = error.map_or("timed out".into(), |e| e.to_string());
+        tracing::info!(server = name, address = %connection.address, error = reason, "dial failed");
         self.return_queued(server, connection.queued);
         let is_open = |(_, other): (ConnectionId, &ServerConnection)| other.is_up && other.outbox.is_open();
         let has_open = self.servers.connections_of(server).any(is_open);
@@ -191,11 +192,11 @@
         // again (found on days with silent connections: one call in some 2,000, its server's message cut off by an end 2 ms before
         // the next dial). A connection that makes way has its successor, which waits for as long.
         if self.servers.has_established_calls(server) && !connection.is_replaced {
-            self.servers.redial_to_hear_from.insert(server, clock::now() + CLOSE_SEEN_AFTER);
+            self.servers.redial_from.insert(server, clock::now() + CLOSE_PROPAGATION_TIME);
         }
         for release in std::mem::take(&mut connection.unconfirmed_releases) {
             // Unless another call of that id is there by now.
-            if !self.servers.attempts.contains_key(&CallAtServer { server, tag: release.tag }) {
+            if !self.servers.attempts.contains_key(&CallKey { server, tag: release.tag }) {
                 self.send_release(server, release.tag);
             }
         }
@@ -203,9 +204,9 @@
             // What was not begun to be written has never run, and need not wait for its retry.
             let is_unwritten = connection.outbox.withdraw(ticket);
             let outcome = if is_unwritten { Outcome::Unreachable } else { Outcome::Reset };
-            let slot = self.servers.attempts.get(&CallAtServer { server, tag });
-            if let Some(slot) = slot.filter(|slot| slot.connection == id && !slot.is_established) {
-                self.end_attempt(slot.attempt, outcome, Cause::Unspecified, LoadReport::default());
+            let entry = self.servers.attempts.get(&CallKey { server, tag });
+            if let Some(entry) = entry.filter(|entry| entry.connection == id && !entry.is_established) {
+                self.end_attempt(entry.attempt, outcome, Cause::Unspecified, LoadReport::default());
             }
         }
         self.return_queued(server, connection.queued);
@@ -231,17 +232,17 @@
         if is_wanted && (!has_any || !has_usable) {
             self.dial(server, now);
         }
-        self.redial_to_hear(server, now);
+        self.redial_for_missed_ends(server, now);
     }
 
     /// Dials anew where ends of calls may have been lost with an ended connection.
-    fn redial_to_hear(&mut self, server: ServerId, now: Micros) {
-        let Some(from) = self.servers.redial_to_hear_from.get(&server).copied() else { return };
+    fn redial_for_missed_ends(&mut self, server: ServerId, now: Micros) {
+        let Some(from) = self.servers.redial_from.get(&server).copied() else { return };
         let mut connections = self.servers.connections_of(server);
-        let is_dialled = connections.any(|(_, connection)| connection.is_dialled_since(from));
+        let is_dialled = connections.any(|(_, connection)| connection.was_dialled_since(from));
         drop(connections);
         if !self.servers.has_calls(server) {
-            self.servers.redial_to_hear_from.remove(&server);
+            self.servers.redial_from.remove(&server);
         } else if !is_dialled && now >= from {
             self.dial(server, now);
         }
@@ -254,7 +255,7 @@
         let mut is_newest = true;
         let newest_first = self.connections.values_mut().rev();
         for connection in newest_first.filter(|connection| connection.server == server && connection.is_up) {
-            connection.is_retired |= connection.is_quiet(now) || !is_newest && !has_calls;
+            connection.is_retired |= connection.is_suspect(now) || !is_newest && !has_calls;
             is_newest &= connection.is_retired;
         }
     }
@@ -276,7 +277,7 @@
     /// Closes retired connections on which nothing is open.
     pub(super) fn close_retired(&mut self, now: Micros) {
         for connection in self.connections.values_mut() {
-            connection.forget_confirmed(now);
+            connection.expire_confirmed(now);
             // On a cut connection no answer comes in time any more, and another is up: what is open there is cancelled now, and
             // may be established in time by a retry (found on days with silent connections: set-ups were awaited until their
             // time-outs, and their server was closed for a jam that was none).
@@ -290,12 +291,12 @@
 
 /// Waits until a replaced connection has ended and its server has seen that. An end of a call that crosses the close is
 /// reported again on the connection that is opened next.
-async fn wait_for_end(frontend: &Shared, replaced: ConnectionId) {
+async fn wait_for_end(frontend: &SharedFrontend, replaced: ConnectionId) {
     for _ in 0..CLOSE_TURNS {
         if !frontend.borrow().servers.connections.contains_key(&replaced) {
             break;
         }
         tokio::task::yield_now().await;
     }
-    tokio::time::sleep(Duration::from_micros(CLOSE_SEEN_AFTER)).await;
+    tokio::time::sleep(Duration::from_micros(CLOSE_PROPAGATION_TIME)).await;
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,7 +1,7 @@
 //! What strangers may send: the two codecs, message by message.
 
 use bytes::BytesMut;
-use cobaltspool::platform::line::{self, Verb, decode, encode, figures};
+use cobaltspool::platform::line::{self, Verb, decode, encode, key_value_pairs};
 use cobaltspool::sip::message::{
     self, Message, Next, host_port, param, read_datagram, sent_by, split_list, uri_parts,
 };
@@ -15,33 +15,33 @@
     call-id: 77\r\nCSeq: 4 INVITE\r\nl: 3\r\n\r\nv=0";
 
 #[test]
-fn a_line_is_read_field_by_field() {
+fn decodes_each_field_of_a_line() {
     let read = decode(LINE.replace('\n', "").as_bytes()).unwrap();
     assert_eq!((read.verb, read.cause), (Verb::Finish, Some(34)));
     assert_eq!(read.text("note").as_deref(), Some("queue_long"));
     assert_eq!((read.number("wait"), read.number("n"), read.number("note")), (Some(250.0), Some(3.0), None));
-    let load = read.load();
+    let load = read.load_report();
     assert_eq!((load.free_lines, load.total_lines, load.queue_wait_ms), (Some(12.0), Some(40.0), Some(7.5)));
     assert_eq!(
         (load.queued_setups, load.utilization),
         (None, None),
         "negative or unreadable figures say nothing"
     );
-    assert_eq!(figures("a:1; b : 2 ;c").collect::<Vec<_>>(), [("a", "1"), ("b", "2")]);
+    assert_eq!(key_value_pairs("a:1; b : 2 ;c").collect::<Vec<_>>(), [("a", "1"), ("b", "2")]);
 }
 
 #[test]
-fn what_is_written_can_be_read() {
-    let tag = line::Tag::new("9B1f03aa5c7e2d41").unwrap();
+fn encoded_line_decodes_to_the_same_fields() {
+    let tag = line::Tag::parse("9B1f03aa5c7e2d41").unwrap();
     let bytes = encode("START", tag, &[("left", "\"5\"")], Some(7), Some(b"\"a\\n\""));
     let read = decode(&bytes).unwrap();
     assert_eq!((read.verb, read.tag, read.cause), (Verb::Start, Some(tag), Some(7)));
-    assert_eq!(read.blob.as_deref(), Some(&b"\"a\\n\""[..]));
-    assert!(line::Tag::new("9b1f03aa5c7e2d4").is_none() && line::Tag::new("9b1f03aa5c7e2d4g").is_none());
+    assert_eq!(read.description.as_deref(), Some(&b"\"a\\n\""[..]));
+    assert!(line::Tag::parse("9b1f03aa5c7e2d4").is_none() && line::Tag::parse("9b1f03aa5c7e2d4g").is_none());
 }
 
 #[test]
-fn a_message_is_read_whatever_its_spelling() {
+fn parses_compact_folded_and_mixed_case_header_names() {
     let read = read_datagram(INVITE.as_bytes()).unwrap().unwrap();
     assert_eq!((read.method(), read.uri()), (Some("INVITE"), Some("sip:5550100@central;pool=2")));
     assert_eq!(read.top_via().and_then(sent_by), Some(("10.0.0.1", 5060)));
@@ -60,7 +60,7 @@
 
 /// A stream may end anywhere: each beginning of a message wants more, and none breaks the reader.
 #[test]
-fn every_beginning_of_a_message_waits_for_the_rest() {
+fn truncated_message_is_incomplete() {
     for cut in 0..INVITE.len() {
         let mut buffer = BytesMut::from(&INVITE[..cut]);
         assert!(matches!(message::next(&mut buffer), Next::More), "cut at {cut}");
@@ -75,7 +75,7 @@
 
 /// Any one byte spoilt: whatever comes of it, the reader goes on.
 #[test]
-fn a_spoilt_byte_breaks_no_reader() {
+fn corrupted_byte_does_not_panic() {
     for at in 0..INVITE.len() {
         for byte in [0, b' ', b'"', b'<', b'\r', 0xff] {
             let mut bytes = INVITE.as_bytes().to_vec();
@@ -92,7 +92,7 @@
             let mut bytes = text.clone().into_bytes();
             bytes[at] = byte;
             if let Some(read) = decode(&bytes) {
-                let _ = (read.load(), read.number("wait"));
+                let _ = (read.load_report(), read.number("wait"));
             }
         }
     }
@@ -100,16 +100,16 @@
 
 #[rstest]
 #[case::no_length("INVITE sip:a@b SIP/2.0\r\nTo: x\r\n\r\n")]
-#[case::odd_length("INVITE sip:a@b SIP/2.0\r\nContent-Length: -3\r\n\r\n")]
+#[case::invalid_length("INVITE sip:a@b SIP/2.0\r\nContent-Length: -3\r\n\r\n")]
 #[case::huge_body("INVITE sip:a@b SIP/2.0\r\nContent-Length: 99999999\r\n\r\n")]
-#[case::no_start("hello\r\n\r\n")]
+#[case::no_start_line("hello\r\n\r\n")]
 #[case::no_colon("INVITE sip:a@b SIP/2.0\r\nnonsense\r\n\r\n")]
-fn a_stream_without_framing_is_given_up(#[case] text: &str) {
+fn stream_without_valid_framing_is_broken(#[case] text: &str) {
     assert!(matches!(message::next(&mut BytesMut::from(text)), Next::Broken));
 }
 
 #[test]
-fn parts_of_header_fields() {
+fn splits_header_field_values() {
     let list: Vec<&str> = split_list("\"a, b\" <sip:x,y>;q=1 , <sip:z>").collect();
     assert_eq!(list, ["\"a, b\" <sip:x,y>;q=1", "<sip:z>"]);
     assert_eq!(param("<sip:a;tag=no>;Tag = yes ;lr", "tag"), Some("yes"));
