--- a/src/platform/clients/connections.rs
+++ b/src/platform/clients/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of callers: accepting, making room, closing, and what an end of a connection means for its calls.
+//! Connections of callers: accepting, limiting and closing them, and the effects of a connection's end on its calls.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::IpAddr;
@@ -18,31 +18,32 @@
 use super::Clients;
 use super::releases::Release;
 
-/// A caller that confirms releases does so within this.
+/// How long a connection is kept open for the confirmation of a release.
 const CONFIRM_TIMEOUT: Micros = 200_000;
-/// A connection is closed under a caller's next message less often where it was without use for this long: many callers go on as
-/// soon as they have their answer.
+/// A connection is idle only if it was unused for this long: many callers send their next request as soon as they
+/// have an answer, and it would cross the close.
 const MIN_IDLE_TIME: Micros = 20_000;
-/// A connection on which no request was taken for this long from its start is closed: its peer says nothing, or nothing that
-/// makes sense, and holds a descriptor.
+/// A connection on which no valid request came within this time of its start is closed, because it occupies a file
+/// descriptor.
 const UNUSED_TIMEOUT: Micros = 2_000_000;
-/// A caller's message that has begun comes whole within this.
+/// Longest time from the first byte of a caller's message to its last.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// One connection of a caller.
+/// A connection of a caller.
 pub(super) struct ClientConnection {
     pub outbox: Rc<Outbox>,
     pub peer: IpAddr,
-    /// Calls requested on it and not answered yet: its end cancels them.
+    /// Calls requested on it and not answered yet; they are cancelled when it ends.
     pub pending: BTreeSet<CallId>,
-    /// Calls requested on it that are established, and the answers that said so: their releases go out on it first.
+    /// Established calls that were requested on it, with the ticket of each answer. Their releases are preferably
+    /// sent on it.
     pub established: BTreeMap<CallId, Ticket>,
     opened_at: Micros,
-    /// When a request was last taken on it, or answered; `None`: never.
+    /// When a request on it was last received or answered; `None` if no request was received.
     pub last_used_at: Option<Micros>,
-    /// Releases written on it that its peer has not confirmed.
+    /// Releases queued on it that its peer has not confirmed.
     pub unconfirmed_releases: HashMap<Tag, Release>,
-    /// Its peer confirms releases.
+    /// Whether its peer has ever confirmed a release.
     pub confirms_releases: bool,
 }
 
@@ -60,13 +61,14 @@
         }
     }
 
-    /// Whether it may be closed: nothing is pending on it, everything was written that its peer is to have, and it is not closing
+    /// Whether it may be closed: no call is pending on it, everything queued has been written, and it is not closing
     /// already.
     fn may_close(&self) -> bool {
         self.pending.is_empty() && self.outbox.is_empty() && self.outbox.is_open()
     }
 
-    /// Whether nothing is pending or established on it, nothing was said a moment ago, and no release is to be confirmed.
+    /// Whether it has no pending or established calls, was not used recently, and waits for no confirmation of a
+    /// release.
     fn is_idle(&self, now: Micros) -> bool {
         let is_past_idle_time = now >= self.last_used_at.unwrap_or(self.opened_at) + MIN_IDLE_TIME;
         let awaits_confirmation =
@@ -74,14 +76,14 @@
         self.may_close() && self.established.is_empty() && is_past_idle_time && !awaits_confirmation
     }
 
-    /// Whether it never was of any use.
+    /// Whether it may be closed because no valid request has come on it in time.
     fn is_unused(&self, now: Micros) -> bool {
         self.last_used_at.is_none() && self.may_close() && now > self.opened_at + UNUSED_TIMEOUT
     }
 }
 
-/// Accepts connections until this process hands over to another. What is queued then is still taken: a listener that closes
-/// resets it, and new connections come to the other process from then on.
+/// Accepts connections until this process hands over to another. Connections in the listener's queue are still
+/// accepted then, because closing the listener would reset them; later connections go to the other process.
 pub async fn accept(frontend: SharedFrontend, listener: TcpListener) {
     let mut is_listening = frontend.borrow().is_listening.subscribe();
     loop {
@@ -95,11 +97,12 @@
                 if frontend.borrow_mut().clients.ensure_capacity() {
                     tokio::task::spawn_local(serve(frontend.clone(), stream, from.ip()));
                 }
-                // What made way is closed before the next comes: else a burst would take all descriptors.
+                // Lets a connection that was closed to make room end before the next is accepted. Otherwise a burst
+                // of connections would use up the file descriptors.
                 tokio::task::yield_now().await;
             }
             Err(e) => {
-                tracing::warn!(error = %e, "accept");
+                tracing::warn!(error = %e, "cannot accept a connection");
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         }
@@ -108,7 +111,7 @@
     std::future::pending().await
 }
 
-/// Takes what is queued at a listener that is to close, without waiting in between.
+/// Accepts the connections in the listener's queue without waiting, then closes the listener.
 fn accept_queued(frontend: &SharedFrontend, listener: TcpListener) {
     let Ok(listener) = listener.into_std() else { return };
     while let Ok((stream, from)) = listener.accept() {
@@ -133,7 +136,7 @@
 }
 
 impl PlatformFrontend {
-    /// A caller's connection has ended.
+    /// Handles the end of a caller's connection: cancels its pending calls, and resends its unconfirmed releases.
     fn handle_client_end(&mut self, id: ConnectionId) {
         let Some(connection) = self.clients.connections.remove(&id) else { return };
         tracing::debug!(target: "link", id, "a caller's connection has ended");
@@ -143,8 +146,8 @@
         }
         let mut has_partial_answer = false;
         for (call, answer) in &connection.established {
-            // Guards against a caller's leaving that crosses the answer in our outbox: nobody will ever read it, so the call is
-            // released now.
+            // The caller disconnected before its answer was written, so it never learns that the call is established.
+            // The call is released now.
             if !connection.outbox.has_written(*answer) {
                 has_partial_answer |= !connection.outbox.withdraw(*answer);
                 self.end_call_by_caller(*call);
@@ -153,7 +156,9 @@
         let outbox = connection.outbox.clone();
         self.clients.resend_unconfirmed(id, connection);
         if has_partial_answer {
-            outbox.clear(); // only now: what was dropped would count as written
+            // Drops the partly written answer. This must come after the lines above, because dropped messages count
+            // as written.
+            outbox.clear();
         }
     }
 }
@@ -165,10 +170,11 @@
         self.send_pending_releases(id, |caller| caller == peer);
     }
 
-    /// Makes room for one more connection; false if there is none, for more would take the descriptors that the servers' side
-    /// needs. Connections on which nothing is pending make way, first those that were never of any use, then those that have
-    /// been without use for longest: some callers ask once and never close, and strangers connect by the hundreds and say
-    /// nothing (found on days with both: all places were taken for good, and further callers were turned away unheard).
+    /// Ensures that one more connection may be accepted; false if not. The limit keeps file descriptors free for
+    /// connections to servers. At the limit, a connection without pending calls is closed: first one on which no
+    /// request ever came, then the one that was unused for longest. Some callers send one request and never close
+    /// their connection, and hundreds of other clients connect and send nothing. On recorded days with both, they
+    /// held all connections permanently, and further callers were refused.
     fn ensure_capacity(&mut self) -> bool {
         let half = (self.max_connections / 2).max(1);
         let max = if self.is_shared { half } else { self.max_connections };
@@ -193,19 +199,20 @@
         }
     }
 
-    /// Closes every connection; what comes before its end is still rejected in words.
+    /// Closes every connection as idle: requests that arrive before a connection's end are still answered with a
+    /// rejection.
     pub(in crate::platform) fn close_all(&mut self) {
         for connection in self.connections.values() {
             connection.outbox.close_if_idle();
         }
     }
 
-    /// How many connections there are.
+    /// Number of connections.
     pub(in crate::platform) fn connection_count(&self) -> usize {
         self.connections.len()
     }
 
-    /// Closes connections of no use, and drops releases that have expired.
+    /// Closes connections without any valid request, and drops expired releases.
     pub(in crate::platform) fn maintain(&mut self, now: Micros) {
         self.expire_releases(now);
         for connection in self.connections.values().filter(|connection| connection.is_unused(now)) {
@@ -213,7 +220,7 @@
         }
     }
 
-    /// Records that a connection is in use.
+    /// Records that a connection is in use, and sends the pending releases on it.
     pub(super) fn record_use(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         connection.last_used_at = Some(clock::now());
--- a/src/platform/clients/mod.rs
+++ b/src/platform/clients/mod.rs
@@ -1,13 +1,13 @@
-//! The callers' side: connections in, requests and releases from them, answers and releases to them.
+//! The callers' side: incoming connections, requests and releases from callers, answers and releases to callers.
 //!
-//! [`Clients`] owns the connections, the callers of all calls and the releases that callers have not confirmed;
-//! [`PlatformFrontend`](super::PlatformFrontend) owns it, and its methods here join it to the core. Each connection is a task of
-//! its own (`connections`), which ends with it.
+//! [`Clients`] owns the connections, the callers of all calls and the releases that callers have not confirmed.
+//! [`PlatformFrontend`](super::PlatformFrontend) owns [`Clients`], and its methods in these files connect it to the
+//! core. Each connection is served by a task of its own (in `connections`).
 //!
 //! | file | concern |
 //! | --- | --- |
-//! | `connections` | accepting, making room, closing; the ends of connections |
-//! | `requests` | what callers say, and the answers to it |
+//! | `connections` | accepting, limiting and closing connections; the effects of a connection's end |
+//! | `requests` | messages from callers, and the answers to them |
 //! | `releases` | releases of established calls, until their callers confirm them |
 
 mod connections;
@@ -28,28 +28,29 @@
 pub(super) use connections::accept;
 use releases::{Release, ReleaseExpiry};
 
-/// No caller means to wait longer than its class's limit; one that says so has sent a figure that is none.
+/// A requested wait that exceeds the longest limit of any class by more than this is rejected as an invalid field.
 const MAX_WAIT_SLACK_MS: f64 = 1_000.0;
 
-/// What is remembered of a call for as long as it is pending or established.
+/// The caller of a pending or established call.
 pub struct Caller {
-    /// Its id on the wire.
+    /// The call's id on the wire.
     pub tag: Tag,
-    /// Its class's place in the settings.
+    /// Index of the call's class in the settings.
     pub class: usize,
-    /// The class as it came, in JSON.
+    /// The class as received, in JSON.
     pub class_json: Box<str>,
-    /// The number called as it came, in JSON.
+    /// The dialled number as received, in JSON.
     pub number_json: Box<str>,
+    /// The connection on which the request came.
     connection: ConnectionId,
-    /// Its address.
+    /// The caller's address.
     pub peer: IpAddr,
 }
 
-/// All callers.
+/// All callers and their connections.
 pub struct Clients {
     class_names: Vec<String>,
-    /// The longest that any class's caller waits, in milliseconds.
+    /// The longest wait that a request may ask for, in milliseconds.
     max_wait_ms: f64,
     max_connections: usize,
     connections: HashMap<ConnectionId, ClientConnection>,
@@ -58,19 +59,19 @@
     last_call: u64,
     /// Releases that wait for a connection.
     pending_releases: VecDeque<(Tag, Release)>,
-    /// The connections on which releases were written that nobody has confirmed.
+    /// For each unconfirmed release, the connection on which it was sent.
     unconfirmed_releases: HashMap<Tag, ConnectionId>,
     /// All releases, in the order in which they expire.
     release_expiries: VecDeque<ReleaseExpiry>,
-    /// The newer process of an upgrade: releases for which there is no connection here are sent there.
+    /// The newer process of an upgrade: releases for which this process has no connection are sent to it.
     pub(super) successor: Option<Rc<Outbox>>,
-    /// The descriptors are shared with another process.
+    /// Whether the limit on connections is shared with another process.
     is_shared: bool,
     trace: CallTrace,
 }
 
 impl Clients {
-    /// Callers of these classes, of whom none waits longer than `max_wait`, on at most `max_connections` connections.
+    /// Creates the callers' side for these classes. `max_wait` is the longest limit of any class on a caller's wait.
     pub(super) fn new(
         class_names: Vec<String>,
         max_wait: Micros,
@@ -94,32 +95,32 @@
         }
     }
 
-    /// A call's caller, while the call is pending or established.
+    /// The caller of a call that is pending or established.
     pub fn caller(&self, call: CallId) -> Option<&Caller> {
         self.calls.get(&call)
     }
 
-    /// The call of a wire id, while it is pending or established.
+    /// The pending or established call with this id on the wire.
     pub(super) fn call_by_tag(&self, tag: Tag) -> Option<CallId> {
         self.by_tag.get(&tag).copied()
     }
 
-    /// A class's place in the settings, by its name.
+    /// The index in the settings of the class with this name.
     pub(super) fn class_index(&self, name: &str) -> Option<usize> {
         self.class_names.iter().position(|class| class == name)
     }
 
-    /// A class's name, by its place in the settings.
+    /// The name of the class at this index in the settings; empty if there is none.
     pub(super) fn class_name(&self, class: usize) -> &str {
         self.class_names.get(class).map_or("", String::as_str)
     }
 
-    /// Sets whether the descriptors are shared with another process.
+    /// Sets whether the limit on connections is shared with another process: if so, half of it applies here.
     pub(super) fn set_shared(&mut self, is_shared: bool) {
         self.is_shared = is_shared;
     }
 
-    /// Takes an established call from another process; no connection of ours brought it.
+    /// Adds an established call that another process handed over. It has no connection of this process.
     pub(super) fn adopt_call(&mut self, tag: Tag, class: usize, peer: IpAddr) -> CallId {
         let call = self.new_call_id();
         let connection = NO_CONNECTION;
@@ -129,7 +130,7 @@
         call
     }
 
-    /// Removes a call.
+    /// Removes a call and returns its caller.
     pub(super) fn remove_call(&mut self, call: CallId) -> Option<Caller> {
         let caller = self.calls.remove(&call)?;
         self.by_tag.remove(&caller.tag);
--- a/src/platform/clients/releases.rs
+++ b/src/platform/clients/releases.rs
@@ -1,5 +1,5 @@
-//! Releases of established calls towards their callers: sent on a connection that fits, kept until confirmed, sent again where a
-//! connection ended before that, dropped when they have expired.
+//! Releases of established calls towards their callers. A release is sent on a suitable connection, kept until it is
+//! confirmed, sent again if the connection ends before that, and dropped when it expires.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -15,22 +15,24 @@
 use super::Clients;
 use super::connections::ClientConnection;
 
-/// How long a release is kept: until it is confirmed, and no longer than this, for later it would not count any more.
+/// Longest time for which an unconfirmed release is kept. A later release would have no effect.
 const RELEASE_LIFETIME: Micros = 8_000_000;
-/// Maximum number of releases that are kept; at the bound the oldest is dropped.
+/// Maximum number of releases that are kept; beyond it the oldest is dropped.
 const MAX_RELEASES: usize = 10_000;
-/// A connection whose peer never confirms may have taken releases of this long with it when it ended.
+/// If a connection ends less than this after a release was sent on it, the peer may not have read the release, even
+/// if it never confirms releases.
 const UNREAD_WINDOW: Micros = 1_000_000;
 
-/// The release of an established call that is over.
+/// The release of an established call that has ended.
 pub(super) struct Release {
     call: CallId,
     peer: IpAddr,
     /// When it was last queued on a connection.
     pub sent_at: Micros,
-    /// As what it was queued.
+    /// Its ticket in that connection's outbox.
     ticket: Option<Ticket>,
     expires_at: Micros,
+    /// Whether the call ended normally; otherwise it was lost.
     completed: bool,
     message: Vec<u8>,
 }
@@ -52,14 +54,14 @@
 }
 
 impl Clients {
-    /// Releases an established call.
+    /// Releases an established call to its caller.
     pub(in crate::platform) fn release_call(&mut self, call: CallId, completed: bool) {
         let Some(caller) = self.remove_call(call) else { return };
         let release = Release::new(call, caller.tag, caller.peer, completed);
         self.add_release(caller.connection, caller.tag, release);
     }
 
-    /// The other process of an upgrade has no connection on which to send this release.
+    /// Sends a release for the other process of an upgrade, which has no connection for it.
     pub(in crate::platform) fn release_for_peer_process(&mut self, tag: Tag, peer: IpAddr, completed: bool) {
         let call = self.new_call_id();
         self.add_release(NO_CONNECTION, tag, Release::new(call, tag, peer, completed));
@@ -73,7 +75,8 @@
         }
     }
 
-    /// Sends a release on the best connection; else to the newer process of an upgrade; else it waits for a connection.
+    /// Sends a release on the best connection. Without one it is sent to the newer process of an upgrade, or else
+    /// queued until there is a connection.
     fn send_or_queue(&mut self, preferred: ConnectionId, tag: Tag, release: Release) {
         let unsent = match self.best_connection(preferred, release.peer) {
             Some(id) => self.send_release(id, tag, release),
@@ -91,7 +94,8 @@
         self.pending_releases.push_back((tag, release));
     }
 
-    /// The connection of the call's request, else another of the same peer, else any on which a request was taken.
+    /// The connection for a release: the preferred one, else another of the same peer, else any on which a request
+    /// came.
     fn best_connection(&self, preferred: ConnectionId, peer: IpAddr) -> Option<ConnectionId> {
         let is_eligible = |connection: &ClientConnection| {
             connection.outbox.is_open() && (connection.last_used_at.is_some() || connection.peer == peer)
@@ -106,7 +110,8 @@
         eligible.min_by_key(rank).map(|(id, _)| *id)
     }
 
-    /// Writes a release to a connection, where it is kept until it is confirmed; returns it if that cannot be.
+    /// Queues a release on a connection, which keeps it until it is confirmed; returns it if the connection is
+    /// closed.
     fn send_release(&mut self, id: ConnectionId, tag: Tag, mut release: Release) -> Option<Release> {
         let Some(connection) = self.connections.get_mut(&id) else { return Some(release) };
         release.ticket = connection.outbox.push(&release.message);
@@ -120,8 +125,9 @@
         None
     }
 
-    /// Sends the releases that wait for a connection on this one, those that it fits. A connection that has said nothing yet fits
-    /// only its own peer's callers: a stranger would read them and keep them to itself.
+    /// Sends those pending releases on this connection whose callers' addresses are eligible. Before its first
+    /// request a connection is eligible only for releases to its own address: another client would read them without
+    /// effect.
     pub(super) fn send_pending_releases(&mut self, id: ConnectionId, is_eligible: impl Fn(IpAddr) -> bool) {
         for (tag, release) in std::mem::take(&mut self.pending_releases) {
             let unsent =
@@ -130,7 +136,8 @@
         }
     }
 
-    /// A caller confirms a release.
+    /// Records that a caller has confirmed a release. The confirmation may come on another connection than the
+    /// release.
     pub(super) fn confirm_release(&mut self, id: ConnectionId, tag: Tag) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.confirms_releases = true;
@@ -143,14 +150,14 @@
         }
     }
 
-    /// A connection has ended: its unconfirmed releases are sent again. Guards against a release that crosses the caller's close:
-    /// it was in our outbox, or on its way, and counted as confirmed.
+    /// Sends the unconfirmed releases of an ended connection again. The caller may have closed the connection while a
+    /// release was still in the outbox or in transit.
     pub(super) fn resend_unconfirmed(&mut self, id: ConnectionId, connection: ClientConnection) {
         let now = clock::now();
         let unconfirmed: HashMap<Tag, Release> = connection.unconfirmed_releases;
         for (tag, release) in unconfirmed {
             self.unconfirmed_releases.remove(&tag);
-            // A peer that never confirms is not sent twice what it had the time to read.
+            // A peer that never confirms is not sent a release twice if it had time to read it.
             let is_written = release.ticket.is_some_and(|ticket| connection.outbox.has_written(ticket));
             let may_be_unread = !is_written || now < release.sent_at + UNREAD_WINDOW;
             if connection.confirms_releases || may_be_unread {
@@ -160,14 +167,14 @@
         }
     }
 
-    /// Drops releases that have expired.
+    /// Drops expired releases.
     pub(super) fn expire_releases(&mut self, now: Micros) {
         while self.release_expiries.front().is_some_and(|expiry| expiry.at <= now) {
             self.drop_oldest_release();
         }
     }
 
-    /// Drops the oldest release. Written to a connection that is still open, it counts as confirmed.
+    /// Drops the oldest release. If it was sent on a connection that is still open, it counts as confirmed.
     fn drop_oldest_release(&mut self) {
         let Some(ReleaseExpiry { at, tag }) = self.release_expiries.pop_front() else { return };
         let sent_on = self.unconfirmed_releases.get(&tag);
--- a/src/platform/clients/requests.rs
+++ b/src/platform/clients/requests.rs
@@ -1,4 +1,4 @@
-//! What callers say, and the answers to it.
+//! Messages from callers, and the answers to them.
 
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
@@ -14,17 +14,18 @@
 use super::super::{ConnectionId, PlatformFrontend};
 use super::{Caller, Clients};
 
-/// The pool of first choice where the request names none.
+/// The pool of first choice of a request that names none.
 const NO_POOL: PoolId = PoolId(-1);
 
-/// The key_value_pairs of a request's `extras` that count here.
+/// The values of a request's `extras` field that affect routing.
 struct Extras {
     first_choice: PoolId,
     is_redial: bool,
 }
 
 impl Extras {
-    /// Reads them; `None` if one cannot be read: they are not passed on, so no server would find what is wrong with them.
+    /// Parses the field; `None` if any value is invalid. `extras` is not forwarded, so no server would detect the
+    /// error.
     fn parse(text: &str) -> Option<Extras> {
         let mut extras = Extras { first_choice: NO_POOL, is_redial: false };
         for pair in text.split(';').filter(|pair| !pair.trim().is_empty()) {
@@ -42,11 +43,11 @@
 }
 
 impl PlatformFrontend {
-    /// Takes a caller's message; false to end the connection.
+    /// Handles a caller's message; false to end the connection.
     pub(super) fn handle_client_message(&mut self, id: ConnectionId, line: Line) -> bool {
         match (line.verb, line.tag) {
             (Verb::Start, Some(tag)) => self.handle_request(id, tag, line),
-            // A request without a readable id can be answered by no message.
+            // A request without a valid id cannot be answered.
             (Verb::Start, None) => return false,
             (Verb::Finish, Some(tag)) => self.handle_client_finish(id, tag),
             (Verb::Finished, Some(tag)) => self.clients.confirm_release(id, tag),
@@ -59,7 +60,8 @@
         true
     }
 
-    /// A caller cancels a request, or releases an established call: here, or at the other process of an upgrade.
+    /// Handles a caller's cancellation of a request or release of an established call. If the call is unknown here,
+    /// it may be at the other process of an upgrade.
     fn handle_client_finish(&mut self, id: ConnectionId, tag: Tag) {
         let confirmation = encode("FINISHED", tag, &[], None, None);
         if let Some(call) = self.clients.call_by_tag(tag) {
@@ -73,7 +75,7 @@
         }
     }
 
-    /// A caller cancels a pending call, or releases an established one.
+    /// Ends a call that its caller has cancelled while pending, or has released once established.
     pub(in crate::platform) fn end_call_by_caller(&mut self, call: CallId) {
         self.clients.remove_call(call);
         self.feed(Input::SetupCancelled(call));
@@ -83,13 +85,14 @@
     fn handle_request(&mut self, id: ConnectionId, tag: Tag, line: Line) {
         let connection = self.clients.connections.get(&id);
         if !connection.is_some_and(|connection| connection.outbox.cancel_idle_close()) {
-            // It crosses our close: its caller sends it again on another connection, so here nothing may be sent on (found in
-            // the test of ten upgrades: one request in some 50,000 went out by both processes).
+            // The request crossed the close of its connection. The caller repeats it on another connection, so it
+            // must not be forwarded here (in the test of ten upgrades, one request in some 50,000 was forwarded by
+            // both processes).
             return;
         }
         if let Some(call) = self.clients.by_tag.get(&tag) {
-            // The same request again: the call is pending or established, and has or gets its one answer where it came in.
-            // Another connection has no part in that call and is told so.
+            // A repeated request: its call is pending or established and is answered once, on the connection of the
+            // first request. On another connection the repetition is rejected.
             if self.clients.calls.get(call).is_some_and(|caller| caller.connection != id) {
                 self.clients.reject_message(id, tag);
             }
@@ -104,12 +107,12 @@
 }
 
 impl Clients {
-    /// Answers a message of which a field cannot be read.
+    /// Answers a message with an invalid or missing field.
     fn reject_message(&mut self, id: ConnectionId, tag: Tag) {
         self.write(id, &encode("FINISH", tag, &[], Some(cause::INVALID_FIELD), None));
     }
 
-    /// Reads a request's fields and records its caller; `None` if a field is missing or cannot be read.
+    /// Reads a request's fields and records its caller; `None` if a field is missing or invalid.
     fn read_request(&mut self, id: ConnectionId, tag: Tag, line: Line) -> Option<SetupRequest> {
         let peer = self.connections.get(&id)?.peer;
         let class = self.class_index(&line.text("class")?)?;
@@ -150,12 +153,12 @@
         self.by_tag.insert(tag, call);
     }
 
-    /// Final answer: the call is established.
+    /// Sends the final answer: the call is established.
     pub(in crate::platform) fn accept_call(&mut self, call: CallId, description: &[u8]) {
         let Some(caller) = self.calls.get(&call) else { return };
         let (id, message) = (caller.connection, encode("STARTED", caller.tag, &[], None, Some(description)));
         let ticket = self.write(id, &message);
-        // Where the connection takes nothing more, its end cancels the call with all that is still pending on it.
+        // If the connection is closed, the call remains pending on it and is cancelled when the connection ends.
         if let (Some(ticket), Some(connection)) = (ticket, self.connections.get_mut(&id)) {
             connection.pending.remove(&call);
             connection.established.insert(call, ticket);
@@ -163,13 +166,13 @@
         self.record_use(id);
     }
 
-    /// Final answer: rejected, with how long to stay away.
+    /// Sends the final answer: rejected, with the time after which the caller may try again.
     pub(in crate::platform) fn reject_call(&mut self, call: CallId, retry_after: Micros) {
         let wait_ms = format!("\"{}\"", retry_after.div_ceil(1000));
         self.finish_call(call, &[("wait", &wait_ms)], cause::NO_CIRCUIT);
     }
 
-    /// Final answer: failed.
+    /// Sends the final answer: failed.
     pub(in crate::platform) fn fail_call(&mut self, call: CallId) {
         self.finish_call(call, &[], cause::TEMPORARY_FAILURE);
     }
@@ -181,7 +184,7 @@
     }
 }
 
-/// The number called: 16 hex digits, or whatever else it is, hashed.
+/// The dialled number: 16 hex digits, or the hash of any other text.
 fn number_from_text(text: &str) -> Number {
     Number(u64::from_str_radix(text, 16).unwrap_or_else(|_| {
         let mut hasher = DefaultHasher::new();
--- a/src/platform/handover.rs
+++ b/src/platform/handover.rs
@@ -1,5 +1,6 @@
-//! The other process of an upgrade: a Unix socket beside the clients' address, and what its words do here. What is said
-//! and when is `operate::handover`'s; a process that is not there, or cannot be understood, changes nothing.
+//! The connection to the other process of an upgrade: a Unix socket whose name contains the clients' address, and the
+//! handling of the messages that arrive on it. `operate::handover` defines the messages and their order. If there is
+//! no other process, or its messages cannot be read, this process works without it.
 
 use std::net::SocketAddr;
 use std::os::unix::fs::{MetadataExt, PermissionsExt};
@@ -27,54 +28,57 @@
 use super::servers::CallKey;
 use super::{PlatformFrontend, SharedFrontend};
 
-/// The old process says all it knows within this, or the new one begins without.
+/// How long the new process waits for the old one's state before it starts without it.
 const INHERITANCE_TIMEOUT: Duration = Duration::from_millis(300);
-/// A message that has begun comes whole within this.
+/// Longest time from the first byte of a message to its last.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(1);
-/// No more waits to be read by the other process before further calls are handed over: a bound far under that of an
-/// outbox, which would close the connection.
+/// No further calls are handed over while more than this is queued for the other process. The bound is far below that
+/// of an outbox, at which the connection would be closed.
 const MAX_UNREAD_BYTES: usize = 64 * 1024;
 
-/// What is held of the other process.
+/// The state of the connection to the other process.
 #[derive(Default)]
 pub(super) struct PeerProcess {
     pub(super) role: Role,
     outbox: Option<Rc<Outbox>>,
-    /// What the old process has told so far; `None` once it was taken or left.
+    /// The part of the old process's state received so far; `None` once it was applied or abandoned.
     inheritance: Option<Inheritance>,
-    /// Wakes who waits for all of it.
+    /// Notified when `inheritance` was applied or abandoned.
     inheritance_done: Rc<Notify>,
 }
 
-/// This process's own socket, not known to others yet.
+/// This process's upgrade socket, bound under a private name.
 pub(super) struct UpgradeSocket {
     listener: UnixListener,
+    /// The private name: it contains the process id.
     own_path: PathBuf,
+    /// The name to which the next process connects.
     shared_path: PathBuf,
 }
 
-/// The socket's name, for a clients' address. `None`: no folder of our own is named, or no one can come back to the
-/// address.
+/// The path of the upgrade socket for a clients' address. `None` if `TMPDIR` is not set, or if the port is chosen by
+/// the system, because then the next process does not listen on the same address.
 fn socket_path(address: SocketAddr) -> Option<PathBuf> {
     let folder = std::env::var_os("TMPDIR").filter(|dir| !dir.is_empty())?;
     (address.port() != 0).then(|| PathBuf::from(folder).join(format!("cobaltspool-{address}.upgrade")))
 }
 
-/// Looks for an older process at this address and takes what it tells. Never keeps this one from starting.
+/// Binds the upgrade socket and, if an older process serves this address, receives its state. No failure here
+/// prevents this process from starting.
 pub(super) async fn receive_from_older(
     frontend: &SharedFrontend,
     address: SocketAddr,
 ) -> Option<UpgradeSocket> {
     let shared_path = socket_path(address)?;
     let own_path = shared_path.with_extension(format!("upgrade.{}", std::process::id()));
-    let _ = std::fs::remove_file(&own_path); // of an earlier process of the same number
+    let _ = std::fs::remove_file(&own_path); // left behind by a process with the same id
     let bound = UnixListener::bind(&own_path);
     let restrict_to_owner =
         |path: &Path| std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o600));
     let listener = match bound.and_then(|listener| restrict_to_owner(&own_path).map(|()| listener)) {
         Ok(listener) => listener,
         Err(e) => {
-            tracing::info!(error = %e, path = %shared_path.display(), "no hand-over at upgrades");
+            tracing::info!(error = %e, path = %shared_path.display(), "no hand-over: cannot create socket");
             return None;
         }
     };
@@ -82,38 +86,39 @@
     let older = timeout(INHERITANCE_TIMEOUT, UnixStream::connect(&upgrade_socket.shared_path)).await;
     let Ok(Ok(stream)) = older else { return Some(upgrade_socket) };
     if !is_same_user(&stream, &upgrade_socket.own_path) {
-        tracing::warn!(path = %upgrade_socket.shared_path.display(), "another user's socket: no hand-over");
+        let path = upgrade_socket.shared_path.display();
+        tracing::warn!(%path, "no hand-over: the upgrade socket belongs to another user");
         return Some(upgrade_socket);
     }
     let inheritance_done = frontend.borrow().peer_process.inheritance_done.clone();
     frontend.borrow_mut().peer_process.inheritance = Some(Inheritance::default());
     tokio::task::spawn_local(run_connection(frontend.clone(), stream, Role::Newer));
     if timeout(INHERITANCE_TIMEOUT, inheritance_done.notified()).await.is_err() {
-        frontend.borrow_mut().abandon_inheritance(&"the older process does not say what it knows");
+        frontend.borrow_mut().abandon_inheritance(&"the older process did not send its state in time");
     }
     Some(upgrade_socket)
 }
 
-/// Whether who is at the other end is of the user that owns a file of ours.
+/// Whether the process at the other end runs as the owner of `own_path`, which is this process's user.
 fn is_same_user(stream: &UnixStream, own_path: &Path) -> bool {
     let owner = std::fs::metadata(own_path).map(|m| m.uid());
     stream.peer_cred().is_ok_and(|peer| owner.is_ok_and(|uid| uid == peer.uid()))
 }
 
-/// This process serves: it says so to the older one, and takes newer ones in for ever.
+/// Notifies the older process that this one serves, then accepts connections of newer processes. Never returns.
 pub(super) async fn accept_newer(frontend: SharedFrontend, upgrade_socket: Option<UpgradeSocket>) {
     frontend.borrow_mut().send_to_peer_process(&HandoverMessage::Serving);
     let Some(UpgradeSocket { listener, own_path, shared_path }) = upgrade_socket else {
         return std::future::pending().await;
     };
-    // From here on the next process finds this one.
+    // From here on the next process can connect to this one.
     if let Err(e) = std::fs::rename(&own_path, &shared_path) {
-        tracing::info!(error = %e, "no hand-over at upgrades");
+        tracing::info!(error = %e, "no hand-over: cannot rename the upgrade socket");
         return std::future::pending().await;
     }
     loop {
         match listener.accept().await {
-            // One upgrade at a time: whoever comes beside it hears nothing and begins without a hand-over.
+            // One upgrade at a time: a further process is disconnected and starts without a hand-over.
             Ok((stream, _))
                 if is_same_user(&stream, &shared_path) && frontend.borrow().peer_process.outbox.is_none() =>
             {
@@ -159,7 +164,7 @@
         }
     }
 
-    /// Takes on a role, with what is shared by it.
+    /// Sets this process's role and everything that depends on it: which resources are shared, and the successor.
     fn set_role(&mut self, role: Role) {
         self.peer_process.role = role;
         self.driver.serving_state.set_successor(role.has_successor());
@@ -191,7 +196,7 @@
         self.send_to_peer_process(&HandoverMessage::Begin);
     }
 
-    /// Takes a message of the other process; false to end the connection.
+    /// Handles a message of the other process; false to end the connection.
     fn handle_peer_message(&mut self, message: HandoverMessage) -> bool {
         if let Some(inheritance) = self.peer_process.inheritance.take() {
             return self.continue_inheritance(inheritance, message);
@@ -217,7 +222,7 @@
                     self.clients.release_for_peer_process(tag, peer, completed);
                 }
             }
-            // Out of order, or of a version that says more: nothing depends on it.
+            // Out of order, or sent by another version: ignored.
             HandoverMessage::Hello { .. }
             | HandoverMessage::Server(_)
             | HandoverMessage::Begin
@@ -226,7 +231,7 @@
         true
     }
 
-    /// Takes the next message of an inheritance; false to end the connection.
+    /// Handles the next message of the old process's state; false to end the connection.
     fn continue_inheritance(&mut self, mut inheritance: Inheritance, message: HandoverMessage) -> bool {
         match inheritance.handle_message(message) {
             InheritanceProgress::Incomplete => self.peer_process.inheritance = Some(inheritance),
@@ -242,10 +247,10 @@
         true
     }
 
-    /// A server ended a call whose end reached the other process.
+    /// Handles the end of a call whose message from the server arrived at the other process.
     fn handle_ended_by_server(&mut self, server: String, tag: String, completed: bool) {
-        let at = self.directory.number(&server).zip(Tag::parse(&tag));
-        let attempt = at.and_then(|(server, tag)| self.servers.established_attempt(CallKey { server, tag }));
+        let key = self.directory.number(&server).zip(Tag::parse(&tag));
+        let attempt = key.and_then(|(server, tag)| self.servers.established_attempt(CallKey { server, tag }));
         match attempt {
             Some(attempt) => {
                 let outcome = if completed { Outcome::Completed } else { Outcome::Reset };
@@ -255,11 +260,11 @@
         }
     }
 
-    /// Takes over what the older process knows of servers: drains that this one's list does not have yet, servers that do
-    /// not answer, and waits told a moment ago.
+    /// Applies the older process's state of the servers: drains that are not in this process's list yet, servers that
+    /// do not answer, and recently reported waits.
     fn apply_inheritance(&mut self, inheritance: Inheritance) {
         let now = clock::now();
-        // A list older than ours says nothing of drains: a server may have come back since.
+        // Drains from an older list than this process's are ignored: the server may have returned since.
         let list_is_current = inheritance.seq.is_some_and(|seq| seq >= self.list_seq);
         for known in inheritance.servers {
             let Some(server) = self.directory.number(&known.server) else { continue };
@@ -281,12 +286,12 @@
                 None => {}
             }
         }
-        tracing::info!("an older process runs beside this one, and has told what it knows");
+        tracing::info!("took over the server state of the older process at this address");
     }
 
-    /// Does without the other process.
+    /// Gives up the hand-over and continues without the other process.
     fn abandon_inheritance(&mut self, reason: &dyn std::fmt::Display) {
-        tracing::warn!(why = reason.to_string(), "the upgrade's hand-over is left out");
+        tracing::warn!(why = reason.to_string(), "no hand-over: the older process's state is not used");
         self.peer_process.inheritance = None;
         self.peer_process.inheritance_done.notify_one();
         if let Some(outbox) = self.peer_process.outbox.take() {
@@ -306,7 +311,7 @@
         self.set_role(Role::Alone);
     }
 
-    /// A call that stands at the older process is ours from now on.
+    /// Takes over an established call from the older process.
     fn adopt_call(&mut self, established: EstablishedCall) {
         let Some(tag) = Tag::parse(&established.tag).filter(|tag| self.clients.call_by_tag(*tag).is_none())
         else {
@@ -314,7 +319,7 @@
         };
         let class = self.clients.class_index(&established.class).unwrap_or(usize::MAX);
         let Some(server) = self.directory.number(&established.server) else {
-            // Its server is not in our list: gone, and the call with it.
+            // Its server is not in this process's list: it was removed, and the call was lost with it.
             return self.clients.release_for_peer_process(tag, established.peer, false);
         };
         let call = self.clients.adopt_call(tag, class, established.peer);
@@ -323,9 +328,9 @@
         self.feed(Input::CallAdopted(AdoptedCall { attempt, wire_id, class, server }));
     }
 
-    /// Hands calls that stand over to the newer process, as many as it reads at once. A call at a server that drains
-    /// stays: such a server listens no more, so the newer process gets no connection on which it could hear of the
-    /// call's end, and takes the refused dial for the server's end.
+    /// Hands established calls over to the newer process, as fast as it reads them. Calls at draining servers are not
+    /// handed over: a draining server no longer listens, so the newer process could not connect to it and receive the
+    /// calls' ends, and would take the refused connection for the end of the server.
     pub(super) fn hand_over_calls(&mut self) {
         if !self.driver.serving_state.is_handing_over() {
             return;
@@ -333,7 +338,7 @@
         let Some(outbox) = self.peer_process.outbox.clone() else { return };
         for call in self.driver.gateway.established_call_ids() {
             if outbox.queued_bytes() > MAX_UNREAD_BYTES {
-                return; // the rest follows when this is written
+                return; // the rest follows when the outbox has drained
             }
             self.hand_over_call(call, &outbox);
         }
@@ -361,8 +366,9 @@
         }
     }
 
-    /// A message on a call that is not here. It may have been sent to the newer process while the call was on its way there: the
-    /// older one returns it once, and by then the call has arrived before it.
+    /// Returns a message about a call that is unknown here to the newer process, if this process is handing over. The
+    /// newer process may have received it while the call was being handed over. The call was sent first, so the
+    /// returned message arrives after it. Only the older process returns messages, so none is returned twice.
     fn return_message(&mut self, message: &HandoverMessage) {
         if self.driver.serving_state.is_handing_over() {
             self.send_to_peer_process(message);
--- a/src/platform/heartbeat_monitor.rs
+++ b/src/platform/heartbeat_monitor.rs
@@ -1,19 +1,20 @@
-//! How regularly a server reports its state unasked on a connection (its heartbeat), and so how soon a silent connection is known to
-//! be dead. Pure: gaps in, a bound out.
+//! Heartbeat monitoring. Servers send unsolicited load reports at regular intervals on each connection; the longest
+//! recent interval bounds how long a working connection can be silent. Pure: intervals in, a bound out.
 
 use crate::Micros;
 
-/// Gaps that are remembered, the newest.
+/// Number of most recent gaps that are kept.
 const GAP_COUNT: usize = 4;
-/// A server that reports less often than this has no heartbeat that would tell anything soon.
+/// A server that reports less often than this has no usable heartbeat: its silence would be detected too late.
 const MAX_GAP: Micros = 1_000_000;
-/// However quick a heartbeat, a silence shorter than this is no sign: a busy machine holds either side up for as long.
+/// Lower limit of the bound, however fast the heartbeat: a busy machine delays either side by as much.
 const MIN_SILENCE: Micros = 400_000;
-/// Beyond the longest gap of late a live connection may be late by this part of it, and by what a busy machine takes.
+/// A report may be later than the longest recent gap by this part of the gap ...
 const LATENESS_DIVISOR: u64 = 4;
+/// ... plus this time, for delays on a busy machine.
 const LATENESS_ALLOWANCE: Micros = 50_000;
 
-/// The gaps between a server's unasked reports.
+/// The most recent gaps between a server's unsolicited reports.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HeartbeatMonitor {
     gaps: [Micros; GAP_COUNT],
@@ -21,13 +22,13 @@
 }
 
 impl HeartbeatMonitor {
-    /// Records that two reports have come on one connection, so far apart.
+    /// Records the time between two successive reports on one connection.
     pub fn record_gap(&mut self, gap: Micros) {
         self.gaps[self.count % GAP_COUNT] = gap;
         self.count += 1;
     }
 
-    /// The longest silence of a connection that is not dead; `None`: no heartbeat is known.
+    /// The longest silence of a connection that still works; `None` if the server has no usable heartbeat.
     pub fn max_silence(&self) -> Option<Micros> {
         let longest = self.gaps.iter().copied().max().filter(|_| self.count >= GAP_COUNT)?;
         let bound = longest + longest / LATENESS_DIVISOR + LATENESS_ALLOWANCE;
--- a/src/platform/heartbeat_monitor/tests.rs
+++ b/src/platform/heartbeat_monitor/tests.rs
@@ -1,4 +1,4 @@
-//! The bound that gaps lead to.
+//! The bound on a connection's silence for given gaps between reports.
 
 use rstest::rstest;
 
--- a/src/platform/line.rs
+++ b/src/platform/line.rs
@@ -1,7 +1,7 @@
-//! The line codec: one JSON object a line, 16 KiB at most.
+//! The line codec: one JSON object per line, at most 16 KiB.
 //!
-//! Lines are read with serde_json, not tinyjson: the input is not trusted, tinyjson's parser recurses without
-//! a bound, and descriptions must be passed on byte for byte, which serde_json's raw values do.
+//! Lines are parsed with serde_json rather than tinyjson: the input is untrusted, tinyjson's parser recurses without
+//! a bound, and descriptions must be forwarded byte for byte, which serde_json's raw values allow.
 
 use std::borrow::Cow;
 use std::collections::BTreeMap;
@@ -13,21 +13,21 @@
 
 use crate::LoadReport;
 
-/// The longest line, without its end.
+/// The longest line, without its line end.
 pub const MAX_LINE_BYTES: usize = 16 * 1024;
 
-/// A call's name on the wire: 16 hex digits, kept as they came.
+/// A call's id on the wire: 16 hex digits, in the case in which they were received.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Tag([u8; 16]);
 
 impl Tag {
-    /// Reads a tag.
+    /// Parses a tag; `None` if it is not 16 hex digits.
     pub fn parse(text: &str) -> Option<Tag> {
         let digits: [u8; 16] = text.as_bytes().try_into().ok()?;
         digits.iter().all(u8::is_ascii_hexdigit).then_some(Tag(digits))
     }
 
-    /// A tag of our own making.
+    /// The tag with this value.
     pub fn from_u64(number: u64) -> Tag {
         Tag::parse(&format!("{number:016x}")).expect("sixteen digits")
     }
@@ -45,62 +45,62 @@
     }
 }
 
-/// The types of message.
+/// Message types.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verb {
-    /// Set-up.
+    /// Set-up request.
     Start,
-    /// Progress; means nothing.
+    /// Progress of a set-up; ignored.
     Pending,
-    /// The call stands.
+    /// The call is established.
     Started,
-    /// Refusal, failure, release, or the set-up is given up.
+    /// Rejection, failure, release, or cancellation of a set-up.
     Finish,
-    /// A release was heard.
+    /// Confirmation of a [`Finish`](Verb::Finish).
     Finished,
-    /// Test.
+    /// Health check.
     Echo,
-    /// A test's answer.
+    /// Answer to a health check.
     Echoed,
-    /// A group's state.
+    /// Load report of a server.
     Load,
-    /// Anything else: ignored.
+    /// Any other type; ignored.
     Unknown,
 }
 
-/// Causes, by their ITU-T Q.850 numbers.
+/// Causes, with their ITU-T Q.850 numbers.
 pub mod cause {
-    /// The call has come to its end, or the set-up is given up.
+    /// The call has ended normally, or the set-up is cancelled.
     pub const NORMAL: i64 = 16;
-    /// Refused: trying again is harmless.
+    /// Rejected because no line is free; a retry has no side effect.
     pub const NO_CIRCUIT: i64 = 34;
-    /// Refused for congestion: trying again is harmless.
+    /// Rejected because of congestion; a retry has no side effect.
     pub const CONGESTION: i64 = 42;
-    /// Failed, or cut.
+    /// The set-up failed, or the call was lost.
     pub const TEMPORARY_FAILURE: i64 = 41;
-    /// A field of the message cannot be read.
+    /// A field of the message is missing or invalid.
     pub const INVALID_FIELD: i64 = 100;
-    /// Moot: it never left.
+    /// The attempt was never sent.
     pub const NOT_SENT: i64 = 102;
 }
 
-/// One message, decoded as far as it could be.
+/// A decoded message. Parts that cannot be decoded are `None`.
 #[derive(Debug)]
 pub struct Line {
-    /// Its type.
+    /// Message type.
     pub verb: Verb,
-    /// Its call, or the test's own name.
+    /// Id of the call or of the health check.
     pub tag: Option<Tag>,
-    /// Its fields, as JSON; `None` if they are no object.
+    /// Fields (`opts`), as JSON; `None` if they are not an object.
     fields: Option<BTreeMap<String, Box<RawValue>>>,
-    /// Its cause; `None` if it has none or it is no number.
+    /// Cause (`rc`); `None` if it is absent or not a number.
     pub cause: Option<i64>,
-    /// Its description, as JSON.
+    /// Description (`blob`), as JSON.
     pub description: Option<Bytes>,
 }
 
 #[derive(Deserialize)]
-struct Raw<'a> {
+struct RawLine<'a> {
     #[serde(borrow)]
     verb: Cow<'a, str>,
     #[serde(borrow, default)]
@@ -113,9 +113,9 @@
     blob: Option<&'a RawValue>,
 }
 
-/// Decodes a line; `None` if it is not a message at all.
+/// Decodes a line; `None` if it is not a JSON object with a `verb`.
 pub fn decode(line: &[u8]) -> Option<Line> {
-    let raw: Raw = serde_json::from_slice(line).ok()?;
+    let raw: RawLine = serde_json::from_slice(line).ok()?;
     let text = |raw: &RawValue| serde_json::from_str::<String>(raw.get()).ok();
     let verb = match &*raw.verb {
         "START" => Verb::Start,
@@ -140,19 +140,19 @@
     })
 }
 
-/// A number that may stand in a string.
+/// Parses a JSON number, or a JSON string that contains a number.
 fn parse_number(json: &str) -> Option<f64> {
     let inner = json.strip_prefix('"').and_then(|j| j.strip_suffix('"')).unwrap_or(json);
     inner.trim().parse::<f64>().ok().filter(|n| n.is_finite())
 }
 
 impl Line {
-    /// Whether the fields are readable at all.
+    /// Whether the fields are a JSON object.
     pub fn has_valid_fields(&self) -> bool {
         self.fields.is_some()
     }
 
-    /// A field as it stands on the wire.
+    /// A field's JSON, as received.
     pub fn raw(&self, key: &str) -> Option<&str> {
         self.fields.as_ref()?.get(key).map(|v| v.get())
     }
@@ -168,7 +168,7 @@
         parse_number(self.raw(key)?)
     }
 
-    /// The load report, as in `x0:12;x1:40;queue:3`. Figures below 0 say nothing.
+    /// The load report, for example `x0:12;x1:40;queue:3`. Negative and invalid values are ignored.
     pub fn load_report(&self) -> LoadReport {
         let mut load = LoadReport::default();
         for (key, value) in key_value_pairs(&self.text("load").unwrap_or_default()) {
@@ -190,12 +190,12 @@
     }
 }
 
-/// The pairs of `a:1;b:2`.
+/// Splits a text such as `a:1;b:2` into pairs of a key and a value.
 pub fn key_value_pairs(text: &str) -> impl Iterator<Item = (&str, &str)> {
     text.split(';').filter_map(|pair| pair.split_once(':')).map(|(k, v)| (k.trim(), v.trim()))
 }
 
-/// Appends one message. `opts` are pairs of a name and a JSON value; `blob` is JSON.
+/// Encodes a message as a line. `fields` are pairs of a name and a JSON value; `description` is JSON.
 pub fn encode(
     verb: &str,
     tag: Tag,
@@ -221,18 +221,18 @@
     bytes
 }
 
-/// What stands at the front of a connection's buffer.
+/// What a connection's buffer begins with.
 #[derive(Debug)]
 pub enum Next {
     /// A message.
     Line(Line),
-    /// No whole line yet.
+    /// An incomplete line.
     More,
-    /// A line that cannot be read, or is too long: the connection is of no use any more.
+    /// A line that is malformed or too long: the connection is to be closed.
     Broken,
 }
 
-/// Takes the next line out of a buffer; `scanned` remembers how much of it holds no line end.
+/// Takes the next line out of a buffer. `scanned` is the length of the part already searched for a line end.
 pub fn next(buffer: &mut BytesMut, scanned: &mut usize) -> Next {
     loop {
         let end = buffer[*scanned..].iter().position(|b| *b == b'\n').map(|n| n + *scanned);
@@ -254,8 +254,8 @@
     }
 }
 
-/// A connection's reader: gives `on_line` each message that has come whole, until one cannot be read or
-/// `on_line` returns false.
+/// A connection's reader, for `link::run`: passes each complete message to `on_line`. Returns
+/// false when a line is malformed or `on_line` has returned false.
 pub fn reader(mut on_line: impl FnMut(Line) -> bool) -> impl FnMut(&mut BytesMut) -> bool {
     let mut scanned = 0;
     move |buffer| loop {
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,8 +1,8 @@
 //! The platform's frontend: JSON lines over TCP, towards callers and towards setup servers.
 //!
-//! `line` is the codec, `clients` and `servers` hold the connections of the two sides, `handover` speaks with the
-//! other process of an upgrade, `heartbeat_monitor` watches the servers' heartbeats, and [`PlatformFrontend`] connects
-//! them to the core.
+//! `line` is the codec, `clients` and `servers` manage the connections to callers and to setup servers, `handover`
+//! exchanges messages with the other process of an upgrade, `heartbeat_monitor` measures the servers' heartbeats, and
+//! [`PlatformFrontend`] connects them to the core.
 
 pub mod clients;
 mod handover;
@@ -30,21 +30,21 @@
 use clients::Clients;
 use servers::Servers;
 
-/// A number of our own for a connection; never used twice.
+/// Identifies a connection within this process; never reused.
 pub type ConnectionId = u64;
-/// No connection of this process: the call came from another.
+/// Stands for no connection, for calls handed over by another process.
 const NO_CONNECTION: ConnectionId = 0;
 
-/// The frontend's state; one task at a time has it, and none keeps it while it waits.
+/// The frontend's state, shared by all its tasks. No task may keep it borrowed across an `await`.
 pub struct PlatformFrontend {
     driver: Driver,
     clients: Clients,
     servers: Servers,
     directory: Directory,
     peer_process: handover::PeerProcess,
-    /// The number of the list's last event.
+    /// The serial number of the endpoint list.
     list_seq: u32,
-    /// False once no more callers are to be taken in.
+    /// False once no more client connections are to be accepted.
     is_listening: watch::Sender<bool>,
     weak_self: Weak<RefCell<PlatformFrontend>>,
     last_connection: ConnectionId,
@@ -52,7 +52,7 @@
 
 type SharedFrontend = Rc<RefCell<PlatformFrontend>>;
 
-/// The clients' address cannot be listened on.
+/// Listening on the clients' address failed.
 #[derive(Debug, thiserror::Error)]
 #[error("cannot listen on {address}: {source}")]
 pub struct ListenError {
@@ -60,7 +60,8 @@
     source: std::io::Error,
 }
 
-/// Serves until it is told to stop and has nothing left to do. `resolver` tells whom to ask for the list.
+/// Serves until `stop` completes and no work is left. `resolver` holds the address of the server that is queried for
+/// the endpoint list.
 pub async fn serve(
     config: Config,
     resolver: watch::Receiver<SocketAddr>,
@@ -133,7 +134,7 @@
         self.last_connection
     }
 
-    /// Clients' connections end once nothing is open on them, where clients are to go elsewhere.
+    /// Closes idle client connections while clients are to reconnect to another process.
     fn close_idle_clients(&mut self, now: Micros) {
         if self.driver.serving_state.closes_idle_clients(now) {
             self.clients.close_idle(now);
@@ -150,15 +151,16 @@
         self.driver.list_received_at = Some(now);
         let (entries, changes) = self.directory.apply(scope, list);
         for server in self.directory.servers().collect::<Vec<_>>() {
-            // It is another process: what the one before held is cut, and nothing of what comes now. Guards against the end
-            // of the old one's last releases taking the new one's calls with it.
+            // A server that was removed and is listed again is a new process. Its predecessor's calls are ended now.
+            // If they were ended only when the wait for the old one's last releases is over, the new one's calls
+            // would end too.
             if let Some(at) = self.servers.take_relisted(server) {
                 self.feed(Input::ServerTerminated { server, at });
             }
         }
         self.feed(Input::EndpointList { notified_at, scope, entries });
         for server in &changes.closed {
-            tracing::info!(server = self.directory.name(*server), "takes nothing new");
+            tracing::info!(server = self.directory.name(*server), "server takes no new calls");
             self.withdraw_unsent(*server);
         }
         for (server, at) in &changes.restarted {
@@ -210,7 +212,7 @@
             }
             Command::CheckHealth(server) => self.check_health(server),
             Command::CloseIdle(server) => self.servers.close_idle(server),
-            Command::Log(_) | Command::ReportViolation(_) => {} // the host's
+            Command::Log(_) | Command::ReportViolation(_) => {} // carried out by the driver
         }
     }
 
--- a/src/platform/servers/attempts.rs
+++ b/src/platform/servers/attempts.rs
@@ -14,7 +14,7 @@
 use super::{AttemptEntry, CallKey, MAX_RELEASES, Servers};
 
 impl PlatformFrontend {
-    /// Sends an attempt, now or as soon as a connection takes it.
+    /// Sends an attempt on a connection to the server, at once or as soon as the connection can write it.
     pub(in crate::platform) fn send_attempt(
         &mut self,
         attempt: AttemptId,
@@ -45,7 +45,7 @@
         self.servers.queue(id, QueuedMessage::Setup(setup));
     }
 
-    /// Releases an established call at its server, on any connection.
+    /// Releases an established call at its server, on any usable connection.
     pub(in crate::platform) fn release_at_server(&mut self, attempt: AttemptId, server: ServerId) {
         if let Some(key) = self.servers.remove_call(attempt.call) {
             self.send_release(server, key.tag);
@@ -59,19 +59,20 @@
         }
     }
 
-    /// Gives back what was queued on a connection that never came up or has ended: it was never written, so it has never run.
+    /// Handles messages that were still queued on a connection that failed or has ended. The set-ups were never
+    /// written, so they end as unreachable; the releases are sent on another connection.
     pub(super) fn return_queued(&mut self, server: ServerId, queued: Vec<QueuedMessage>) {
         for message in queued {
             match message {
                 QueuedMessage::Setup(setup) => self.end_unsent(setup.attempt),
                 QueuedMessage::Release(tag) => self.send_release(server, tag),
-                QueuedMessage::HealthCheck(_) => {} // it expires by itself
+                QueuedMessage::HealthCheck(_) => {} // expires and counts as failed
             }
         }
     }
 
-    /// A server takes nothing new: set-ups that still wait for a connection to it, or in an outbox that it does not read, must
-    /// not reach it.
+    /// Withdraws the unsent set-ups for a server that must get no new calls: those still queued for a connection, and
+    /// those in an outbox of which nothing was written.
     pub(in crate::platform) fn withdraw_unsent(&mut self, server: ServerId) {
         for attempt in self.servers.take_unsent(server) {
             self.end_unsent(attempt);
@@ -96,7 +97,7 @@
 }
 
 impl Servers {
-    /// Cancels an attempt that has no answer.
+    /// Cancels an attempt that is not answered yet.
     pub(in crate::platform) fn cancel_attempt(&mut self, attempt: AttemptId) {
         let Some(key) = self.call_key(attempt.call) else { return };
         let entry = self.attempts.get(&key);
@@ -118,7 +119,7 @@
         pending.push_back(tag);
     }
 
-    /// Takes back all set-ups that a server has nothing of.
+    /// Withdraws all set-ups for a server of which no byte was written, and returns their attempts.
     fn take_unsent(&mut self, server: ServerId) -> Vec<AttemptId> {
         let mut unsent = Vec::new();
         let attempts = &self.attempts;
--- a/src/platform/servers/connection.rs
+++ b/src/platform/servers/connection.rs
@@ -14,82 +14,85 @@
 use super::super::line::{Tag, cause, encode};
 use super::{CANCELLED_RETENTION, MAX_RELEASES};
 
-/// A connection from which an answer is awaited and nothing at all was heard for this long may be cut: cut links are silent. A
-/// new one is dialled beside it, which settles the matter.
+/// A connection on which an answer is awaited and no message came for this long is suspect: a broken link gives no
+/// other sign. A new connection is then dialled beside it and replaces it.
 const SUSPECT_AFTER: Micros = 1_500_000;
-/// A release that the server has not confirmed counts as confirmed after this, if its connection is still open.
+/// An unconfirmed release counts as confirmed after this time if its connection is still open.
 const RELEASE_RETENTION: Micros = 8_000_000;
 
-/// An attempt that waits for its connection.
+/// A set-up message that is queued until its connection can write it.
 pub(super) struct QueuedSetup {
     pub attempt: AttemptId,
     pub expires_at: Micros,
     pub tag: Tag,
-    /// Its class's place in the settings.
+    /// Index of the call's class in the settings.
     pub class: usize,
-    /// The class as it goes out, in JSON.
+    /// The class as sent, in JSON.
     pub class_json: Box<str>,
-    /// The number called as it goes out, in JSON.
+    /// The dialled number as sent, in JSON.
     pub number_json: Box<str>,
     pub description: Bytes,
 }
 
-/// A message that waits for its connection: it is being dialled, or its peer is slow to read.
+/// A message that is queued until its connection can write it: the connection is being dialled, or its peer reads
+/// slowly.
 pub(super) enum QueuedMessage {
     Setup(QueuedSetup),
     HealthCheck(Tag),
     Release(Tag),
 }
 
-/// A call's id on the wire, and when something happened to it.
+/// A call's id on the wire, and the time of the event for which it is recorded.
 pub(super) struct TimedTag {
     pub at: Micros,
     pub tag: Tag,
 }
 
-/// A set-up in the outbox that is not written whole yet.
+/// A set-up in the outbox that has not been written in full.
 pub(super) struct UnwrittenSetup {
     pub ticket: Ticket,
     pub class: usize,
 }
 
-/// One connection, from the decision to dial it to its end.
+/// A connection to a server, from the decision to dial it to its end.
 pub(super) struct ServerConnection {
     pub server: ServerId,
     pub address: SocketAddr,
     pub outbox: Rc<Outbox>,
-    /// It is established.
+    /// Whether dialling has succeeded.
     pub is_up: bool,
+    /// Messages not yet moved to the outbox.
     pub queued: Vec<QueuedMessage>,
-    /// Set-ups queued or written on it and not answered yet. What was not begun to be written may be taken back.
+    /// Set-ups in the outbox or written, and not answered yet. Those of which nothing was written can be withdrawn.
     pub unanswered: HashMap<Tag, Ticket>,
-    /// Since when something has been awaited and nothing heard.
+    /// Since when an answer has been awaited without any message; `None` if no answer is awaited.
     pub awaiting_since: Option<Micros>,
+    /// Set-ups not yet written in full, in the order of writing. Each is counted once it has been.
     pub unwritten: VecDeque<UnwrittenSetup>,
-    /// Attempts cancelled on it, whose answers may still come.
+    /// Attempts that were cancelled on it and whose answers may still arrive.
     pub cancelled: VecDeque<TimedTag>,
     /// Releases written on it that the server has not confirmed.
     pub unconfirmed_releases: VecDeque<TimedTag>,
-    /// When the server last reported its state on it unasked.
+    /// When the server's last unsolicited load report came on it.
     pub last_report_at: Option<Micros>,
-    /// Since when nothing was heard on it, for as long as this process listened.
+    /// Since when no message has come on it. Restarted after a stall of this process, when input may be unread.
     pub silent_since: Micros,
-    /// How long that may be; `None`: the server has no heartbeat.
+    /// Longest silence of a working connection; `None` if the server has no usable heartbeat.
     pub max_silence: Option<Micros>,
-    /// When anything was last heard on it.
+    /// When the last message came on it.
     pub last_received_at: Micros,
-    /// When a health check was last sent for want of any sign of life; 0: not since it was heard.
+    /// When a health check was last sent because of its silence; 0 if not since its last message.
     pub last_checked_at: Micros,
-    /// It was closed to make way for another, which is dialled once it has ended.
+    /// It was closed to make room for another connection, which is dialled once this one has ended.
     pub is_replaced: bool,
-    /// When it was dialled; `None`: it is still to be.
+    /// When it was dialled; `None` if that is still to come.
     pub dialled_at: Option<Micros>,
-    /// It gets nothing new and closes once nothing is open on it.
+    /// It gets no new messages and is closed once nothing is unanswered or queued on it.
     pub is_retired: bool,
 }
 
 impl ServerConnection {
-    /// A connection that is to be dialled.
+    /// Creates a connection that is still to be dialled.
     pub fn new(server: ServerId, address: SocketAddr, now: Micros, max_silence: Option<Micros>) -> Self {
         ServerConnection {
             server,
@@ -113,33 +116,33 @@
         }
     }
 
-    /// Whether it may be cut: an answer is long awaited, or its heartbeat has stopped.
+    /// Whether its link may be broken: an answer has been awaited for too long, or its heartbeat has stopped.
     pub fn is_suspect(&self, now: Micros) -> bool {
         self.awaiting_since.is_some_and(|since| now > since + SUSPECT_AFTER) || self.has_lost_heartbeat(now)
     }
 
-    /// The server reports its state unasked on every connection, and has missed to do so on this one: it is cut, whatever the
-    /// server's processor has to do.
+    /// Whether its heartbeat has stopped. The server reports its state on every connection at regular intervals, even
+    /// when its processor is busy, so a missing report means that the link is broken.
     pub fn has_lost_heartbeat(&self, now: Micros) -> bool {
         self.is_up && self.max_silence.is_some_and(|max| now > self.silent_since + max)
     }
 
-    /// Whether new messages may go out on it.
+    /// Whether new messages may be sent on it.
     pub fn is_usable(&self, now: Micros) -> bool {
         !self.is_retired && self.outbox.is_open() && !self.is_suspect(now)
     }
 
-    /// Whether it is up and nothing is open or queued on it.
+    /// Whether it is up and nothing is unanswered or queued on it.
     pub fn is_idle(&self) -> bool {
         self.is_up && self.unanswered.is_empty() && self.queued.is_empty()
     }
 
-    /// Whether it was dialled at this time or later, or still is to be.
+    /// Whether it was dialled at this time or later, or is still to be dialled.
     pub fn was_dialled_since(&self, from: Micros) -> bool {
         self.dialled_at.is_none_or(|at| at >= from)
     }
 
-    /// Takes a set-up back that its server has nothing of; false if it may have some.
+    /// Withdraws a set-up of which nothing was written; false if the server may have received part of it.
     pub fn withdraw(&mut self, tag: Tag) -> bool {
         let Some(ticket) = self.unanswered.get(&tag).copied() else { return false };
         if !self.outbox.withdraw(ticket) {
@@ -148,19 +151,19 @@
         self.unanswered.remove(&tag);
         self.unwritten.retain(|setup| setup.ticket != ticket);
         if self.unanswered.is_empty() {
-            self.awaiting_since = None; // nothing was sent that is to be answered
+            self.awaiting_since = None; // no answer is awaited any more
         }
         true
     }
 
-    /// Whether an attempt of this id was cancelled on it of late.
+    /// Whether an attempt with this id was cancelled on it and its answer may still arrive.
     pub fn has_cancelled(&self, tag: Tag, now: Micros) -> bool {
         self.cancelled
             .iter()
             .any(|cancelled| cancelled.tag == tag && now < cancelled.at + CANCELLED_RETENTION)
     }
 
-    /// Cancels an attempt: it is taken back if it was not written yet, else the server is told.
+    /// Cancels an attempt: withdraws it if nothing of it was written, else sends the cancellation to the server.
     pub fn cancel(&mut self, attempt: AttemptId, tag: Tag) {
         let before = self.queued.len();
         self.queued.retain(|message| !matches!(message, QueuedMessage::Setup(s) if s.attempt == attempt));
@@ -174,18 +177,18 @@
         self.outbox.push(&encode("FINISH", tag, &[], Some(cause::NORMAL), None));
     }
 
-    /// Forgets cancelled attempts whose answer will not come any more.
+    /// Drops cancelled attempts whose answers can no longer arrive.
     fn expire_cancelled(&mut self, now: Micros) {
         self.cancelled.retain(|cancelled| now < cancelled.at + CANCELLED_RETENTION);
     }
 
-    /// Forgets what counts as answered or confirmed by now.
+    /// Drops cancelled attempts whose answers can no longer arrive, and releases that count as confirmed.
     pub fn expire_confirmed(&mut self, now: Micros) {
         self.expire_cancelled(now);
         self.unconfirmed_releases.retain(|release| now < release.at + RELEASE_RETENTION);
     }
 
-    /// Moves queued messages to the outbox, as long as its peer reads.
+    /// Moves the queued messages to the outbox if the outbox is empty.
     pub fn flush(&mut self) {
         let now = clock::now();
         if !self.is_up || !self.outbox.is_empty() || !self.outbox.is_open() {
@@ -193,7 +196,7 @@
         }
         for message in std::mem::take(&mut self.queued) {
             match message {
-                // Its time is over, and the core is about to find out: it is not sent on any more.
+                // Expired: not sent, but kept in the queue until the core cancels the attempt.
                 QueuedMessage::Setup(setup) if setup.expires_at <= now => {
                     self.queued.push(QueuedMessage::Setup(setup));
                 }
--- a/src/platform/servers/health.rs
+++ b/src/platform/servers/health.rs
@@ -1,4 +1,4 @@
-//! Health checks, silence of servers with established calls, and servers that are gone.
+//! Health checks, silent servers with established calls, and removed servers.
 
 use crate::clock;
 use crate::driver::Frontend as _;
@@ -10,33 +10,36 @@
 use super::Servers;
 use super::connection::{QueuedMessage, ServerConnection};
 
-/// A health check that takes longer has failed.
+/// A health check without an answer after this time has failed.
 const HEALTH_CHECK_TIMEOUT: Micros = 250_000;
-/// Having maintained nothing for this long, this process was held up itself: silence meanwhile says nothing.
+/// If the connections were not maintained for this long, this process itself was stalled, and silence in that time is
+/// no evidence against a connection.
 const STALL_THRESHOLD: Micros = 250_000;
-/// A connection of a server with established calls that has been silent for this long gets a health check ...
+/// A connection to a server with established calls gets a health check after this much silence ...
 const SILENCE_BEFORE_CHECK: Micros = 2_000_000;
-/// ... and the server counts as out of reach after this. Ends of calls that it could not report must reach their callers within
-/// 8 s all the same (found on a day with a zone cut off for 13 s: 12 calls were lost so).
+/// ... and the server counts as unreachable after this much silence on all its connections. Callers must be notified
+/// of a call's end within 8 s even if the server cannot report it (on a recorded day with a zone cut off for 13 s, 12
+/// calls were lost because of this).
 const UNREACHABLE_TIMEOUT: Micros = 7_000_000;
-/// From the notification that a server is gone until its calls count as cut: their releases may be on their way.
+/// Time between a server's removal from the list and the end of its calls as lost: their releases may still be in
+/// transit.
 const REMOVAL_GRACE: Micros = 500_000;
 
-/// A health check without an answer.
+/// A health check that has not been answered.
 pub(super) struct HealthCheck {
     server: ServerId,
     expires_at: Micros,
 }
 
-/// A server that was notified as gone.
+/// A server that was removed from the list.
 pub(super) struct RemovedServer {
     notified_at: Micros,
-    /// When its calls count as cut.
+    /// When its calls count as lost.
     lost_at: Micros,
 }
 
 impl PlatformFrontend {
-    /// Sends a health check to a server. Its end is reported as `Input::Load`.
+    /// Sends a health check to a server. Its result is reported to the core as `Input::Load`.
     pub(in crate::platform) fn check_health(&mut self, server: ServerId) {
         let now = clock::now();
         let tag = self.servers.new_health_check_tag();
@@ -47,7 +50,8 @@
         }
     }
 
-    /// Maintains the connections: expired health checks, servers that are gone, quiet connections, servers without one.
+    /// Periodic work: fails expired health checks, ends the calls of removed servers, replaces suspect connections
+    /// and dials servers without a usable connection.
     pub(in crate::platform) fn maintain_servers(&mut self, now: Micros) {
         self.servers.record_maintenance(now);
         for server in self.servers.take_expired_health_checks(now) {
@@ -64,7 +68,8 @@
         self.servers.close_retired(now);
     }
 
-    /// Makes sure that silence of a server with established calls is noticed, and acts on it in time.
+    /// Detects whether a server with established calls is unreachable: sends health checks on silent connections, and
+    /// reports the server as unreachable if no message comes in time.
     fn detect_unreachable(&mut self, server: ServerId, now: Micros) {
         if !self.servers.has_established_calls(server) {
             return;
@@ -72,7 +77,7 @@
         let last_received_at = *self.servers.last_received_at.entry(server).or_insert(now);
         if now > last_received_at + UNREACHABLE_TIMEOUT {
             let name = self.directory.name(server);
-            tracing::warn!(server = name, "out of reach: its calls are over");
+            tracing::warn!(server = name, "server unreachable: ending its calls");
             self.servers.last_received_at.remove(&server);
             self.feed(Input::ServerUnreachable { server, last_heard_at: last_received_at });
             return;
@@ -93,13 +98,14 @@
 }
 
 impl Servers {
-    /// An id that no call has; successive ones are far apart (a Weyl sequence).
+    /// An id for a health check. Successive ids are far apart (a Weyl sequence), so that none is the id of a call.
     fn new_health_check_tag(&mut self) -> Tag {
         self.health_check_seed = self.health_check_seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
         Tag::from_u64(self.health_check_seed)
     }
 
-    /// Notes that the connections are maintained. What came while this process was held up is still to be read.
+    /// Records that the connections are being maintained. After a stall of this process, the silence of all
+    /// connections is measured anew, because messages that came meanwhile may still be unread.
     fn record_maintenance(&mut self, now: Micros) {
         let elapsed = now.saturating_sub(std::mem::replace(&mut self.last_maintained_at, now));
         if elapsed > STALL_THRESHOLD {
@@ -121,12 +127,12 @@
         expired
     }
 
-    /// The health check of this id has been answered; false: there is none.
+    /// Removes the health check with this id, which was answered; false if there is none.
     pub(super) fn finish_health_check(&mut self, tag: Tag) -> bool {
         self.health_checks.remove(&tag).is_some()
     }
 
-    /// Removes the servers whose calls count as cut from now on.
+    /// Takes out the removed servers whose calls count as lost from now on.
     fn take_lost_servers(&mut self, now: Micros) -> Vec<ServerId> {
         let cut = self.removed.iter().filter(|(_, removed)| now >= removed.lost_at);
         let cut: Vec<ServerId> = cut.map(|(server, _)| *server).collect();
@@ -136,7 +142,7 @@
         cut
     }
 
-    /// A server was notified as gone: nothing of it is left but, maybe, releases on their way.
+    /// Records that a server was removed from the list. Only the last releases of its calls may still arrive.
     pub(in crate::platform) fn remove_server(&mut self, server: ServerId, now: Micros) {
         let removed = RemovedServer { notified_at: now, lost_at: now + REMOVAL_GRACE };
         self.removed.insert(server, removed);
@@ -146,8 +152,8 @@
         self.backoffs.remove(&server);
     }
 
-    /// When a server was notified as gone that is listed again before its calls have counted as cut. Its connections of before
-    /// get nothing new.
+    /// If a server is listed again before its calls counted as lost, takes it out of the removed servers, retires its
+    /// old connections and returns when it was removed.
     pub(in crate::platform) fn take_relisted(&mut self, server: ServerId) -> Option<Micros> {
         let removed = self.removed.remove(&server)?;
         self.retire(server);
--- a/src/platform/servers/messages.rs
+++ b/src/platform/servers/messages.rs
@@ -1,4 +1,4 @@
-//! What setup servers say: answers, ends of calls, load reports, answers to health checks.
+//! Messages from setup servers: answers, ends of calls, load reports, answers to health checks.
 
 use bytes::Bytes;
 
@@ -17,7 +17,7 @@
 const HEALTH_CHECK_PASSED: i64 = 1;
 
 impl PlatformFrontend {
-    /// Takes a server's message.
+    /// Handles a server's message.
     pub(super) fn handle_server_message(&mut self, id: ConnectionId, line: Line) {
         let now = clock::now();
         let Some(server) = self.servers.record_received(id, &line, now) else { return };
@@ -36,15 +36,15 @@
     fn handle_server_answer(&mut self, id: ConnectionId, key: CallKey, line: Line) {
         let entry = self.servers.attempts.get(&key);
         match entry.filter(|entry| entry.is_established || entry.connection == id) {
-            Some(entry) if entry.is_established => {} // it says so twice
+            Some(entry) if entry.is_established => {} // repeated answer
             Some(entry) => {
                 let attempt = entry.attempt;
                 let description = line.description.unwrap_or_else(|| Bytes::from_static(b"\"\""));
-                // The core may find that its time is over: then it is cancelled in here.
+                // If the core finds that the attempt's time has expired, it cancels the attempt within this call.
                 self.feed(Input::Established { attempt, description });
             }
             None => {
-                // A cancelled attempt is established after all: nobody waits for it any more.
+                // The answer to a cancelled attempt: the call that it establishes is released.
                 self.servers.write(id, &encode("FINISH", key.tag, &[], Some(cause::NORMAL), None));
             }
         }
@@ -55,14 +55,14 @@
             connection.cancelled.retain(|cancelled| cancelled.tag != key.tag);
         }
         let Some(entry) = self.servers.attempts.get(&key) else {
-            // Of a cancelled attempt, or of a call that is established at the other process of an upgrade.
+            // A cancelled attempt, or a call that is established at the other process of an upgrade.
             let completed = line.cause == Some(cause::NORMAL);
             let server = self.directory.name(key.server).to_string();
             let ended = HandoverMessage::EndedByServer { server, tag: key.tag.to_string(), completed };
             return self.send_to_peer_process(&ended);
         };
         if !entry.is_established && entry.connection != id {
-            return; // of an old attempt
+            return; // an earlier attempt of the same call
         }
         let (attempt, is_established) = (entry.attempt, entry.is_established);
         self.driver.trace.record(clock::now(), attempt.call, TraceStep::ServerMessageOn(id));
@@ -79,7 +79,7 @@
     if line.cause == Some(cause::NORMAL) { Outcome::Completed } else { Outcome::Reset }
 }
 
-/// How an attempt ended that was not established.
+/// How an attempt ended that had not established the call.
 fn attempt_outcome(line: &Line) -> Outcome {
     match line.cause {
         Some(cause::NO_CIRCUIT | cause::CONGESTION) => Outcome::Rejected,
@@ -111,7 +111,8 @@
             (Verb::Finished, Some(tag)) => connection.unconfirmed_releases.retain(|r| r.tag != tag),
             _ => {}
         }
-        // Only what is still open is awaited now: else a connection would seem quiet on which nothing is.
+        // Restarted only if other set-ups are unanswered. Otherwise a connection on which no answer is awaited would
+        // become suspect.
         connection.awaiting_since = (!connection.unanswered.is_empty()).then_some(now);
         connection.last_received_at = now;
         connection.last_checked_at = 0;
--- a/src/platform/servers/mod.rs
+++ b/src/platform/servers/mod.rs
@@ -1,15 +1,16 @@
-//! The setup servers' side: connections out, attempts on them, and what comes back.
+//! The setup servers' side: outgoing connections, attempts and releases on them, and the servers' messages.
 //!
-//! [`Servers`] owns the connections and what is known of each server's reachability; [`PlatformFrontend`](super::PlatformFrontend)
-//! owns it, and its methods here join it to the core. Each connection is a task of its own (`pool`), which ends with it.
+//! [`Servers`] owns the connections and the reachability state of each server.
+//! [`PlatformFrontend`](super::PlatformFrontend) owns [`Servers`], and its methods in these files connect it to the
+//! core. Each connection is served by a task of its own (in `pool`).
 //!
 //! | file | concern |
 //! | --- | --- |
-//! | `pool` | which connection a message takes; dialling, back-off, ends of connections |
+//! | `pool` | choice of the connection for a message; dialling, back-off, ends of connections |
 //! | `connection` | the state of one connection |
 //! | `attempts` | attempts and releases on connections |
-//! | `health` | health checks, silence, servers that are gone |
-//! | `messages` | what servers say |
+//! | `health` | health checks, silent servers, removed servers |
+//! | `messages` | messages from servers |
 
 mod attempts;
 mod connection;
@@ -30,13 +31,13 @@
 use health::{HealthCheck, RemovedServer};
 use pool::Backoff;
 
-/// Maximum number of releases for one server that wait for a connection or for being confirmed; at the bound the oldest is
-/// dropped: the server ends that call by itself.
+/// Maximum number of releases for one server without a connection, and of unconfirmed releases on one connection.
+/// Beyond it the oldest is dropped: the server ends that call by itself.
 const MAX_RELEASES: usize = 10_000;
-/// How long an answer to a cancelled attempt may still come in on its connection.
+/// How long an answer to a cancelled attempt may still arrive on its connection.
 const CANCELLED_RETENTION: Micros = 10_000_000;
 
-/// What a call has at a server.
+/// Identifies a call at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct CallKey {
     /// The server.
@@ -45,33 +46,35 @@
     pub tag: Tag,
 }
 
-/// An attempt in flight, or established.
+/// An attempt that is pending or established at its server.
 struct AttemptEntry {
     attempt: AttemptId,
+    /// The connection on which it was sent.
     connection: ConnectionId,
     is_established: bool,
 }
 
-/// All setup servers.
+/// All setup servers and the connections to them.
 pub struct Servers {
     dial_timeout: Duration,
     connections: BTreeMap<ConnectionId, ServerConnection>,
     attempts: HashMap<CallKey, AttemptEntry>,
     by_call: HashMap<CallId, CallKey>,
     health_checks: HashMap<Tag, HealthCheck>,
-    /// Seed of the next health check's id.
+    /// The number from which the next health check's id is derived.
     health_check_seed: u64,
     backoffs: BTreeMap<ServerId, Backoff>,
     heartbeats: BTreeMap<ServerId, HeartbeatMonitor>,
     /// When the connections were last maintained.
     last_maintained_at: Micros,
-    /// When a server was last heard on any connection.
+    /// When a server's last message came, on any connection.
     last_received_at: BTreeMap<ServerId, Micros>,
-    /// Releases for servers that cannot be reached now.
+    /// Releases for servers without a usable connection.
     pending_releases: BTreeMap<ServerId, VecDeque<Tag>>,
-    /// Servers on whose ended connections ends of calls may have been lost. A connection that is dialled at this time or later
-    /// hears them again.
+    /// Servers whose reports of ended calls may have been lost with an ended connection. A connection that is dialled
+    /// at this time or later receives them again.
     redial_from: BTreeMap<ServerId, Micros>,
+    /// Servers that were removed from the list and whose calls do not yet count as lost.
     removed: BTreeMap<ServerId, RemovedServer>,
 }
 
@@ -94,12 +97,12 @@
         }
     }
 
-    /// What a call has at a server.
+    /// The server of a call and its id there, while it has an attempt.
     pub(super) fn call_key(&self, call: CallId) -> Option<CallKey> {
         self.by_call.get(&call).copied()
     }
 
-    /// The attempt by which a call is established at a server.
+    /// The attempt by which a call at a server was established; `None` if the call is not established.
     pub(super) fn established_attempt(&self, key: CallKey) -> Option<AttemptId> {
         self.attempts.get(&key).filter(|entry| entry.is_established).map(|entry| entry.attempt)
     }
@@ -112,7 +115,7 @@
         }
     }
 
-    /// Records a call that is established by another process's attempt; no connection of ours has to do with that.
+    /// Adds an established call that another process handed over. It has no connection of this process.
     pub(super) fn adopt_call(&mut self, key: CallKey, call: CallId) -> AttemptId {
         let attempt = AttemptId { call, number: 0 };
         let entry = AttemptEntry { attempt, connection: super::NO_CONNECTION, is_established: true };
@@ -121,7 +124,7 @@
         attempt
     }
 
-    /// Removes what a call has at a server.
+    /// Removes a call's attempt.
     pub(super) fn remove_call(&mut self, call: CallId) -> Option<CallKey> {
         let key = self.by_call.remove(&call)?;
         self.attempts.remove(&key);
--- a/src/platform/servers/pool.rs
+++ b/src/platform/servers/pool.rs
@@ -1,4 +1,5 @@
-//! The pool of connections to each setup server: which one a message takes, dialling and back-off, and the ends of connections.
+//! The pool of connections to each setup server: choice of the connection for a message, dialling and back-off, and
+//! the ends of connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,19 +20,20 @@
 use super::CallKey;
 use super::connection::{QueuedMessage, ServerConnection};
 
-/// A server's message that has begun comes whole within this: servers write messages at once, and calls whose answers are stuck
-/// behind half a line are lost time.
+/// Longest time from the first byte of a server's message to its last. Servers write each message at once, and an
+/// incomplete line delays the answers of all calls behind it.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(200);
-/// A server has seen the end of a connection by then.
+/// Time after which a server has detected the end of a connection.
 const CLOSE_PROPAGATION_TIME: Micros = 50_000;
-/// A connection that we close has ended after so many turns of the loop; it waits for nobody.
+/// Scheduler turns after which a connection that this process closes has ended; its end does not depend on the peer.
 const CLOSE_TURNS: usize = 64;
 /// First and longest delay between dials to a server that cannot be reached.
 const MIN_BACKOFF: Micros = 100_000;
 const MAX_BACKOFF: Micros = 1_000_000;
 /// Maximum number of connections to one server at a time.
 const MAX_CONNECTIONS: usize = 3;
-/// An older connection than the newest is as good if something was heard on it this lately: servers report their state unasked.
+/// A connection other than the newest is used only if its last message is not older than this. Servers send
+/// unsolicited reports, so a working connection has recent messages.
 const RECENT_MESSAGE_AGE: Micros = 500_000;
 
 /// The delay before the next dial to a server that could not be reached.
@@ -52,10 +54,10 @@
         Ok(Err(e)) => return frontend.borrow_mut().handle_dial_failure(id, Some(e.kind())),
         Err(_) => return frontend.borrow_mut().handle_dial_failure(id, None),
     };
-    // Whoever has left by now is heard before what waited for this connection goes out.
+    // Reads all pending input first, so that set-ups whose callers have cancelled or disconnected are not sent.
     link::read_pending_input().await;
     frontend.borrow_mut().handle_connection_up(id);
-    tracing::debug!(target: "link", id, %address, "a server's connection is up");
+    tracing::debug!(target: "link", id, %address, "connected to server");
     let on_line = |line: Line| {
         frontend.borrow_mut().handle_server_message(id, line);
         true
@@ -68,13 +70,14 @@
         }
     };
     let ended = link::run(&mut stream, &outbox, MESSAGE_TIMEOUT, reader(on_line), on_drained).await;
-    tracing::debug!(target: "link", id, %address, ?ended, "a server's connection has ended");
+    tracing::debug!(target: "link", id, %address, ?ended, "connection to server ended");
     frontend.borrow_mut().handle_connection_end(id);
 }
 
 impl PlatformFrontend {
-    /// The connection for a new message to a server: the newest that is not quiet, or an older one that was heard a moment ago;
-    /// else one that is being dialled, now if need be. `None` if the server could not be reached a moment ago.
+    /// The connection for a new message to a server: the newest usable connection, or an older one with a recent
+    /// message; otherwise one that is being dialled; otherwise a new one. `None` if a new one cannot be dialled, for
+    /// example during the back-off after a failed dial.
     pub(super) fn usable_connection(
         &mut self,
         server: ServerId,
@@ -95,8 +98,8 @@
         best.map(|(id, _)| *id).or_else(|| self.dial(server, now))
     }
 
-    /// Dials a server, unless that failed a moment ago. With all its connections taken, the one that was heard least lately of
-    /// those that are idle makes way, and the dial begins when it has ended.
+    /// Dials a server, except during the back-off after a failed dial. At the maximum number of connections, the idle
+    /// one with the oldest last message is closed, and dialling begins when it has ended.
     pub(super) fn dial(&mut self, server: ServerId, now: Micros) -> Option<ConnectionId> {
         let address = self.directory.address(server)?;
         if self.servers.backoffs.get(&server).is_some_and(|backoff| now < backoff.not_before) {
@@ -121,7 +124,7 @@
         Some(id)
     }
 
-    /// Closes the idle connection that was heard least lately; `None`: there is none.
+    /// Closes the idle connection with the oldest last message and returns its id; `None` if no connection is idle.
     fn replace_idle_connection(&mut self, server: ServerId) -> Option<ConnectionId> {
         let idle = self.servers.connections_of(server).filter(|(_, connection)| connection.is_idle());
         let (id, _) = idle.min_by_key(|(_, connection)| connection.last_received_at)?;
@@ -163,14 +166,14 @@
         let is_open = |(_, other): (ConnectionId, &ServerConnection)| other.is_up && other.outbox.is_open();
         let has_open = self.servers.connections_of(server).any(is_open);
         if error == Some(io::ErrorKind::ConnectionRefused) && !has_open {
-            // Nothing listens there, and no connection is left: the process has ended, and what it held with it. One that drains
-            // listens no more either, but its connections stay until its calls are over (found on a recorded day: one refused
-            // dial ended 81 calls 2 s before their server did).
+            // The dial was refused and no other connection is open: the server's process has ended, and its calls
+            // with it. A draining server does not listen either, but keeps its connections until its calls have ended
+            // (on a recorded day, one refused dial ended 81 calls 2 s before their server did).
             self.feed(Input::ServerTerminated { server, at: now });
         }
     }
 
-    /// Counts the set-ups whose last byte the system has taken.
+    /// Counts the set-ups that have been written in full to the socket.
     fn count_written_setups(&mut self, id: ConnectionId) {
         let Some(connection) = self.servers.connections.get_mut(&id) else { return };
         let outbox = connection.outbox.clone();
@@ -185,23 +188,25 @@
         self.count_written_setups(id);
         let Some(mut connection) = self.servers.connections.remove(&id) else { return };
         let server = connection.server;
-        // A server reports the end of a call where the call was set up, or on any open connection, and again on the next one that is
-        // opened. What crossed the end of this one is heard only there. Guards against calls whose end is never heard (found on
-        // days with many departing callers: one call in some 6,700 ended in the millisecond in which a connection was closed
-        // because a newer one had come up). The server has to see the end before it takes the next one in, or it says nothing
-        // again (found on days with silent connections: one call in some 2,000, its server's message cut off by an end 2 ms before
-        // the next dial). A connection that makes way has its successor, which waits for as long.
+        // A server reports a call's end on the connection of the set-up or on any open connection, and repeats it on
+        // the next connection that is opened. A report that crosses the end of this connection is received only by
+        // that repetition, so a new connection is dialled. Without it some ends of calls are never received: on
+        // recorded days with many departing callers, one call in some 6,700 ended in the millisecond in which a
+        // connection was closed because a newer one was up. The server must detect the end of this connection before
+        // it accepts the next, or it does not repeat the report: on recorded days with silent connections, one call
+        // in some 2,000 was lost by a close 2 ms before the next dial. A replaced connection needs no redial, because
+        // its replacement is dialled after the same delay.
         if self.servers.has_established_calls(server) && !connection.is_replaced {
             self.servers.redial_from.insert(server, clock::now() + CLOSE_PROPAGATION_TIME);
         }
         for release in std::mem::take(&mut connection.unconfirmed_releases) {
-            // Unless another call of that id is there by now.
+            // Not sent if another call with that id is at the server by now.
             if !self.servers.attempts.contains_key(&CallKey { server, tag: release.tag }) {
                 self.send_release(server, release.tag);
             }
         }
         for (tag, ticket) in std::mem::take(&mut connection.unanswered) {
-            // What was not begun to be written has never run, and need not wait for its retry.
+            // A set-up of which nothing was written had no effect and may be retried at once.
             let is_unwritten = connection.outbox.withdraw(ticket);
             let outcome = if is_unwritten { Outcome::Unreachable } else { Outcome::Reset };
             let entry = self.servers.attempts.get(&CallKey { server, tag });
@@ -213,12 +218,12 @@
         self.maintain_servers(clock::now());
     }
 
-    /// Makes sure that a server that is wanted has a usable connection, and retires those that have a successor.
+    /// Dials a server that is in use and has no usable connection, and retires connections that others have replaced.
     pub(super) fn maintain_connections(&mut self, server: ServerId, now: Micros) {
         let address = self.directory.address(server);
         let (mut has_usable, mut has_usable_up, mut has_any) = (false, false, false);
         for connection in self.servers.connections.values_mut().filter(|c| c.server == server) {
-            connection.is_retired |= Some(connection.address) != address; // it moved
+            connection.is_retired |= Some(connection.address) != address; // the server's address has changed
             let is_usable = connection.is_usable(now);
             has_any |= !connection.is_retired;
             has_usable |= is_usable;
@@ -235,7 +240,7 @@
         self.redial_for_missed_ends(server, now);
     }
 
-    /// Dials anew where ends of calls may have been lost with an ended connection.
+    /// Dials a server again if its reports of ended calls may have been lost with an ended connection.
     fn redial_for_missed_ends(&mut self, server: ServerId, now: Micros) {
         let Some(from) = self.servers.redial_from.get(&server).copied() else { return };
         let mut connections = self.servers.connections_of(server);
@@ -250,7 +255,8 @@
 }
 
 impl super::Servers {
-    /// What has gone quiet has a successor; what nothing can be said on any more is not kept.
+    /// Retires suspect connections of a server, and all but the newest usable one if the server has no calls. Called
+    /// only when there is a usable connection.
     fn retire_replaceable(&mut self, server: ServerId, has_calls: bool, now: Micros) {
         let mut is_newest = true;
         let newest_first = self.connections.values_mut().rev();
@@ -274,13 +280,13 @@
         }
     }
 
-    /// Closes retired connections on which nothing is open.
+    /// Closes retired connections on which nothing is unanswered or queued, or whose heartbeat has stopped.
     pub(super) fn close_retired(&mut self, now: Micros) {
         for connection in self.connections.values_mut() {
             connection.expire_confirmed(now);
-            // On a cut connection no answer comes in time any more, and another is up: what is open there is cancelled now, and
-            // may be established in time by a retry (found on days with silent connections: set-ups were awaited until their
-            // time-outs, and their server was closed for a jam that was none).
+            // No answer comes in time on a broken connection, and another is up. Closing it ends its set-ups now, so
+            // that retries can still succeed in time. (On recorded days with silent connections, set-ups were awaited
+            // until they timed out, and their server was excluded as overloaded although it was not.)
             let is_done = connection.unanswered.is_empty() && connection.queued.is_empty();
             if connection.is_retired && (is_done || connection.has_lost_heartbeat(now)) {
                 connection.outbox.close();
@@ -289,8 +295,8 @@
     }
 }
 
-/// Waits until a replaced connection has ended and its server has seen that. An end of a call that crosses the close is
-/// reported again on the connection that is opened next.
+/// Waits until a replaced connection has ended and its server has detected that. The server then repeats the report
+/// of a call's end that crossed the close on the next connection.
 async fn wait_for_end(frontend: &SharedFrontend, replaced: ConnectionId) {
     for _ in 0..CLOSE_TURNS {
         if !frontend.borrow().servers.connections.contains_key(&replaced) {
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,4 @@
-//! What strangers may send: the two codecs, message by message.
+//! The two codecs (JSON lines and SIP) on valid, truncated and corrupted input.
 
 use bytes::BytesMut;
 use cobaltspool::platform::line::{self, Verb, decode, encode, key_value_pairs};
@@ -25,7 +25,7 @@
     assert_eq!(
         (load.queued_setups, load.utilization),
         (None, None),
-        "negative or unreadable figures say nothing"
+        "negative and invalid values are ignored"
     );
     assert_eq!(key_value_pairs("a:1; b : 2 ;c").collect::<Vec<_>>(), [("a", "1"), ("b", "2")]);
 }
@@ -58,7 +58,7 @@
     assert_eq!((ok.all("Via").count(), ok.tag("To"), ok.code()), (2, Some("x"), Some(200)));
 }
 
-/// A stream may end anywhere: each beginning of a message wants more, and none breaks the reader.
+/// A stream may be interrupted at any byte: every truncated message is incomplete, and none makes the parser panic.
 #[test]
 fn truncated_message_is_incomplete() {
     for cut in 0..INVITE.len() {
@@ -73,7 +73,7 @@
     assert!(two.is_empty());
 }
 
-/// Any one byte spoilt: whatever comes of it, the reader goes on.
+/// Neither codec panics on a message in which any one byte is replaced.
 #[test]
 fn corrupted_byte_does_not_panic() {
     for at in 0..INVITE.len() {
