--- a/src/platform/handover.rs
+++ b/src/platform/handover.rs
@@ -183,12 +183,12 @@
         let now = clock::now();
         self.send_to_peer_process(&HandoverMessage::Hello { version: VERSION, seq: self.list_seq });
         for server in self.directory.servers().collect::<Vec<_>>() {
-            let known = self.driver.gateway.server_snapshot(server);
-            let report = known.last_reported_wait;
+            let snapshot = self.driver.gateway.server_snapshot(server);
+            let report = snapshot.last_reported_wait;
             let message = HandoverMessage::Server(KnownServer {
                 server: self.directory.name(server).to_string(),
-                draining_for: known.draining_since.map(|since| now.saturating_sub(since)),
-                is_ejected: known.is_ejected,
+                draining_for: snapshot.draining_since.map(|since| now.saturating_sub(since)),
+                is_ejected: snapshot.is_ejected,
                 last_report: report.map(|report| (now.saturating_sub(report.at), report.wait_ms)),
             });
             self.send_to_peer_process(&message);
--- a/src/platform/servers/health.rs
+++ b/src/platform/servers/health.rs
@@ -134,12 +134,12 @@
 
     /// Takes out the removed servers whose calls count as lost from now on.
     fn take_lost_servers(&mut self, now: Micros) -> Vec<ServerId> {
-        let cut = self.removed.iter().filter(|(_, removed)| now >= removed.lost_at);
-        let cut: Vec<ServerId> = cut.map(|(server, _)| *server).collect();
-        for server in &cut {
+        let lost = self.removed.iter().filter(|(_, removed)| now >= removed.lost_at);
+        let lost: Vec<ServerId> = lost.map(|(server, _)| *server).collect();
+        for server in &lost {
             self.removed.remove(server);
         }
-        cut
+        lost
     }
 
     /// Records that a server was removed from the list. Only the last releases of its calls may still arrive.
