--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,8 +1,8 @@
 //! The platform's frontend: JSON lines over TCP, towards callers and towards setup servers.
 //!
-//! `line` is the codec, `clients` and `servers` hold the connections of the two sides, `handover` speaks with the
-//! other process of an upgrade, `heartbeat_monitor` watches the servers' heartbeats, and [`PlatformFrontend`] connects
-//! them to the core.
+//! `line` is the codec, `clients` and `servers` manage the connections to callers and to setup servers, `handover`
+//! exchanges messages with the other process of an upgrade, `heartbeat_monitor` measures the servers' heartbeats, and
+//! [`PlatformFrontend`] connects them to the core.
 
 pub mod clients;
 mod handover;
@@ -30,29 +30,29 @@
 use clients::Clients;
 use servers::Servers;
 
-/// A number of our own for a connection; never used twice.
+/// Identifies a connection within this process; never reused.
 pub type ConnectionId = u64;
-/// No connection of this process: the call came from another.
+/// Stands for no connection, for calls handed over by another process.
 const NO_CONNECTION: ConnectionId = 0;
 
-/// The frontend's state; one task at a time has it, and none keeps it while it waits.
+/// The frontend's state, shared by all its tasks. No task may keep it borrowed across an `await`.
 pub struct PlatformFrontend {
     driver: Driver,
     clients: Clients,
     servers: Servers,
     directory: Directory,
     peer_process: handover::PeerProcess,
-    /// The number of the list's last event.
-    seq: u32,
-    /// False once no more callers are to be taken in.
+    /// The serial number of the endpoint list.
+    list_seq: u32,
+    /// False once no more client connections are to be accepted.
     is_listening: watch::Sender<bool>,
-    me: Weak<RefCell<PlatformFrontend>>,
+    weak_self: Weak<RefCell<PlatformFrontend>>,
     last_connection: ConnectionId,
 }
 
-type Shared = Rc<RefCell<PlatformFrontend>>;
+type SharedFrontend = Rc<RefCell<PlatformFrontend>>;
 
-/// The clients' address cannot be listened on.
+/// Listening on the clients' address failed.
 #[derive(Debug, thiserror::Error)]
 #[error("cannot listen on {address}: {source}")]
 pub struct ListenError {
@@ -60,7 +60,8 @@
     source: std::io::Error,
 }
 
-/// Serves until it is told to stop and has nothing left to do. `resolver` tells whom to ask for the list.
+/// Serves until `stop` completes and no work is left. `resolver` holds the address of the server that is queried for
+/// the endpoint list.
 pub async fn serve(
     config: Config,
     resolver: watch::Receiver<SocketAddr>,
@@ -70,19 +71,19 @@
 ) -> Result<(), ListenError> {
     let frontend = PlatformFrontend::start(&config, plan.borrow().clone());
     for (scope, list) in config.known.clone() {
-        frontend.borrow_mut().handle_list(clock::now(), scope, list);
+        frontend.borrow_mut().handle_endpoint_list(clock::now(), scope, list);
     }
-    let place = handover::meet(&frontend, config.listen).await;
+    let upgrade_socket = handover::receive_from_older(&frontend, config.listen).await;
     let listener = link::listen(config.listen);
-    let failed = |source| ListenError { address: config.listen, source };
-    let listener = listener.map_err(failed)?;
-    let address = listener.local_addr().map_err(failed)?;
+    let listen_error = |source| ListenError { address: config.listen, source };
+    let listener = listener.map_err(listen_error)?;
+    let address = listener.local_addr().map_err(listen_error)?;
     tracing::info!(name = config.name, listen = %address, "serves");
     let tasks = async {
         tokio::join!(
             clients::accept(frontend.clone(), listener),
-            handover::follow(frontend.clone(), place),
-            follow_list(frontend.clone(), resolver, config.seq),
+            handover::accept_newer(frontend.clone(), upgrade_socket),
+            follow_endpoint_list(frontend.clone(), resolver, config.seq),
             driver::follow_limits(&frontend, plan)
         )
     };
@@ -90,42 +91,42 @@
     Ok(())
 }
 
-async fn follow_list(frontend: Shared, server: watch::Receiver<SocketAddr>, seq: u32) {
+async fn follow_endpoint_list(frontend: SharedFrontend, server: watch::Receiver<SocketAddr>, seq: u32) {
     let service = resolver::Service::Srv("_back._tcp.pool.lan.".to_string());
-    let heard = frontend.borrow().driver.last_list_response_at.clone();
-    resolver::follow(server, service, Some(seq), &heard, |asked, serial, list| {
+    let last_list_response_at = frontend.borrow().driver.last_list_response_at.clone();
+    resolver::follow(server, service, Some(seq), &last_list_response_at, |queried_at, serial, list| {
         let mut frontend = frontend.borrow_mut();
-        frontend.seq = serial.unwrap_or(frontend.seq);
-        frontend.handle_list(asked, EndpointListScope::Complete, list);
+        frontend.list_seq = serial.unwrap_or(frontend.list_seq);
+        frontend.handle_endpoint_list(queried_at, EndpointListScope::Complete, list);
     })
     .await;
 }
 
 impl PlatformFrontend {
-    fn start(config: &Config, plan: Option<Rc<Plan>>) -> Shared {
+    fn start(config: &Config, plan: Option<Rc<Plan>>) -> SharedFrontend {
         let limits = Limiter::from_plan_or_settings(plan, &config.settings, &config.classes, config.seed);
         let longest_wait = config.max_waits.iter().copied().max().unwrap_or(0);
         let gateway = Gateway::with_limits(config.settings.clone(), limits, config.seed);
         let driver = Driver::new(gateway, config.classes.clone(), longest_wait);
         let trace = driver.trace.clone();
         let classes = config.classes.clone();
-        Rc::new_cyclic(|me| {
+        Rc::new_cyclic(|weak_self| {
             RefCell::new(PlatformFrontend {
                 driver,
                 clients: Clients::new(classes, longest_wait, config.sockets / 2, trace),
                 servers: Servers::new(config.dial_timeout, config.seed),
                 directory: Directory::default(),
                 peer_process: handover::PeerProcess::default(),
-                seq: config.seq,
+                list_seq: config.seq,
                 is_listening: watch::Sender::new(true),
-                me: me.clone(),
+                weak_self: weak_self.clone(),
                 last_connection: 1,
             })
         })
     }
 
-    fn shared(&self) -> Shared {
-        self.me.upgrade().expect("the frontend is only reached through its shared handle")
+    fn shared(&self) -> SharedFrontend {
+        self.weak_self.upgrade().expect("the frontend is only reached through its shared handle")
     }
 
     fn new_connection_id(&mut self) -> ConnectionId {
@@ -133,27 +134,33 @@
         self.last_connection
     }
 
-    /// Clients' connections end once nothing is open on them, where clients are to go elsewhere.
+    /// Closes idle client connections while clients are to reconnect to another process.
     fn close_idle_clients(&mut self, now: Micros) {
         if self.driver.serving_state.closes_idle_clients(now) {
             self.clients.close_idle(now);
         }
     }
 
-    fn handle_list(&mut self, notified_at: Micros, scope: EndpointListScope, list: Vec<ListedServer>) {
+    fn handle_endpoint_list(
+        &mut self,
+        notified_at: Micros,
+        scope: EndpointListScope,
+        list: Vec<ListedServer>,
+    ) {
         let now = clock::now();
         self.driver.list_received_at = Some(now);
         let (entries, changes) = self.directory.apply(scope, list);
         for server in self.directory.servers().collect::<Vec<_>>() {
-            // It is another process: what the one before held is cut, and nothing of what comes now. Guards against the end
-            // of the old one's last releases taking the new one's calls with it.
-            if let Some(at) = self.servers.take_returned(server) {
+            // A server that was removed and is listed again is a new process. Its predecessor's calls are ended now.
+            // If they were ended only when the wait for the old one's last releases is over, the new one's calls
+            // would end too.
+            if let Some(at) = self.servers.take_relisted(server) {
                 self.feed(Input::ServerTerminated { server, at });
             }
         }
         self.feed(Input::EndpointList { notified_at, scope, entries });
         for server in &changes.closed {
-            tracing::info!(server = self.directory.name(*server), "takes nothing new");
+            tracing::info!(server = self.directory.name(*server), "server takes no new calls");
             self.withdraw_unsent(*server);
         }
         for (server, at) in &changes.restarted {
@@ -193,9 +200,9 @@
             Command::CancelAttempt { attempt, .. } => self.servers.cancel_attempt(attempt),
             Command::ReleaseAtServer { attempt, server } => self.release_at_server(attempt, server),
             Command::Accept { call, description } => {
-                self.servers.establish(call);
+                self.servers.mark_established(call);
                 self.clients.accept_call(call, &description);
-                self.hand_over();
+                self.hand_over_calls();
             }
             Command::Reject { call, retry_after } => self.clients.reject_call(call, retry_after),
             Command::Fail { call } => self.clients.fail_call(call),
@@ -205,7 +212,7 @@
             }
             Command::CheckHealth(server) => self.check_health(server),
             Command::CloseIdle(server) => self.servers.close_idle(server),
-            Command::Log(_) | Command::ReportViolation(_) => {} // the host's
+            Command::Log(_) | Command::ReportViolation(_) => {} // carried out by the driver
         }
     }
 
@@ -217,7 +224,7 @@
         self.maintain_servers(now);
         if self.driver.serving_state.is_handing_over() {
             self.is_listening.send_replace(false);
-            self.hand_over();
+            self.hand_over_calls();
         }
         self.close_idle_clients(now);
     }
--- a/src/platform/servers/attempts.rs
+++ b/src/platform/servers/attempts.rs
@@ -11,10 +11,10 @@
 use super::super::PlatformFrontend;
 use super::super::line::Tag;
 use super::connection::{QueuedMessage, QueuedSetup};
-use super::{AttemptSlot, CallAtServer, MAX_RELEASES, Servers};
+use super::{AttemptEntry, CallKey, MAX_RELEASES, Servers};
 
 impl PlatformFrontend {
-    /// Sends an attempt, now or as soon as a connection takes it.
+    /// Sends an attempt on a connection to the server, at once or as soon as the connection can write it.
     pub(in crate::platform) fn send_attempt(
         &mut self,
         attempt: AttemptId,
@@ -29,26 +29,26 @@
             expires_at: now + time_left,
             tag: caller.tag,
             class: caller.class,
-            class_text: caller.class_text.clone(),
-            key: caller.key.clone(),
+            class_json: caller.class_json.clone(),
+            number_json: caller.number_json.clone(),
             description,
         };
-        let at = CallAtServer { server, tag: setup.tag };
-        let Some(id) = self.usable_connection(server, at.tag, now) else {
+        let key = CallKey { server, tag: setup.tag };
+        let Some(id) = self.usable_connection(server, key.tag, now) else {
             let (outcome, cause, load) = (Outcome::Unreachable, Cause::Unspecified, LoadReport::default());
             return self.driver.inputs.push_back(Input::AttemptEnded { attempt, outcome, cause, load });
         };
-        let slot = AttemptSlot { attempt, connection: id, is_established: false };
-        self.servers.attempts.insert(at, slot);
-        self.servers.by_call.insert(attempt.call, at);
+        let entry = AttemptEntry { attempt, connection: id, is_established: false };
+        self.servers.attempts.insert(key, entry);
+        self.servers.by_call.insert(attempt.call, key);
         self.driver.trace.record(now, attempt.call, TraceStep::AttemptOn(id));
         self.servers.queue(id, QueuedMessage::Setup(setup));
     }
 
-    /// Releases an established call at its server, on any connection.
+    /// Releases an established call at its server, on any usable connection.
     pub(in crate::platform) fn release_at_server(&mut self, attempt: AttemptId, server: ServerId) {
-        if let Some(at) = self.servers.remove_call(attempt.call) {
-            self.send_release(server, at.tag);
+        if let Some(key) = self.servers.remove_call(attempt.call) {
+            self.send_release(server, key.tag);
         }
     }
 
@@ -59,19 +59,20 @@
         }
     }
 
-    /// Gives back what was queued on a connection that never came up or has ended: it was never written, so it has never run.
+    /// Handles messages that were still queued on a connection that failed or has ended. The set-ups were never
+    /// written, so they end as unreachable; the releases are sent on another connection.
     pub(super) fn return_queued(&mut self, server: ServerId, queued: Vec<QueuedMessage>) {
         for message in queued {
             match message {
                 QueuedMessage::Setup(setup) => self.end_unsent(setup.attempt),
                 QueuedMessage::Release(tag) => self.send_release(server, tag),
-                QueuedMessage::HealthCheck(_) => {} // it expires by itself
+                QueuedMessage::HealthCheck(_) => {} // expires and counts as failed
             }
         }
     }
 
-    /// A server takes nothing new: set-ups that still wait for a connection to it, or in an outbox that it does not read, must
-    /// not reach it.
+    /// Withdraws the unsent set-ups for a server that must get no new calls: those still queued for a connection, and
+    /// those in an outbox of which nothing was written.
     pub(in crate::platform) fn withdraw_unsent(&mut self, server: ServerId) {
         for attempt in self.servers.take_unsent(server) {
             self.end_unsent(attempt);
@@ -96,15 +97,17 @@
 }
 
 impl Servers {
-    /// Cancels an attempt that has no answer.
+    /// Cancels an attempt that is not answered yet.
     pub(in crate::platform) fn cancel_attempt(&mut self, attempt: AttemptId) {
-        let Some(at) = self.call_at_server(attempt.call) else { return };
-        let slot = self.attempts.get(&at);
-        let Some(slot) = slot.filter(|slot| slot.attempt == attempt && !slot.is_established) else { return };
-        let id = slot.connection;
+        let Some(key) = self.call_key(attempt.call) else { return };
+        let entry = self.attempts.get(&key);
+        let Some(entry) = entry.filter(|entry| entry.attempt == attempt && !entry.is_established) else {
+            return;
+        };
+        let id = entry.connection;
         self.remove_call(attempt.call);
         if let Some(connection) = self.connections.get_mut(&id) {
-            connection.cancel(attempt, at.tag);
+            connection.cancel(attempt, key.tag);
         }
     }
 
@@ -116,7 +119,7 @@
         pending.push_back(tag);
     }
 
-    /// Takes back all set-ups that a server has nothing of.
+    /// Withdraws all set-ups for a server of which no byte was written, and returns their attempts.
     fn take_unsent(&mut self, server: ServerId) -> Vec<AttemptId> {
         let mut unsent = Vec::new();
         let attempts = &self.attempts;
@@ -129,8 +132,8 @@
                 QueuedMessage::HealthCheck(_) | QueuedMessage::Release(_) => true,
             });
             for tag in connection.unanswered.keys().copied().collect::<Vec<_>>() {
-                let slot = attempts.get(&CallAtServer { server, tag });
-                unsent.extend(slot.filter(|_| connection.withdraw(tag)).map(|slot| slot.attempt));
+                let entry = attempts.get(&CallKey { server, tag });
+                unsent.extend(entry.filter(|_| connection.withdraw(tag)).map(|entry| entry.attempt));
             }
         }
         unsent
--- a/src/platform/servers/pool.rs
+++ b/src/platform/servers/pool.rs
@@ -1,4 +1,5 @@
-//! The pool of connections to each setup server: which one a message takes, dialling and back-off, and the ends of connections.
+//! The pool of connections to each setup server: choice of the connection for a message, dialling and back-off, and
+//! the ends of connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,24 +16,25 @@
 
 use super::super::heartbeat_monitor::HeartbeatMonitor;
 use super::super::line::{Line, Tag, reader};
-use super::super::{ConnectionId, PlatformFrontend, Shared};
-use super::CallAtServer;
+use super::super::{ConnectionId, PlatformFrontend, SharedFrontend};
+use super::CallKey;
 use super::connection::{QueuedMessage, ServerConnection};
 
-/// A server's message that has begun comes whole within this: servers write messages at once, and calls whose answers are stuck
-/// behind half a line are lost time.
+/// Longest time from the first byte of a server's message to its last. Servers write each message at once, and an
+/// incomplete line delays the answers of all calls behind it.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(200);
-/// A server has seen the end of a connection by then.
-const CLOSE_SEEN_AFTER: Micros = 50_000;
-/// A connection that we close has ended after so many turns of the loop; it waits for nobody.
+/// Time after which a server has detected the end of a connection.
+const CLOSE_PROPAGATION_TIME: Micros = 50_000;
+/// Scheduler turns after which a connection that this process closes has ended; its end does not depend on the peer.
 const CLOSE_TURNS: usize = 64;
 /// First and longest delay between dials to a server that cannot be reached.
 const MIN_BACKOFF: Micros = 100_000;
 const MAX_BACKOFF: Micros = 1_000_000;
 /// Maximum number of connections to one server at a time.
 const MAX_CONNECTIONS: usize = 3;
-/// An older connection than the newest is as good if something was heard on it this lately: servers report their state unasked.
-const RECENTLY_HEARD: Micros = 500_000;
+/// A connection other than the newest is used only if its last message is not older than this. Servers send
+/// unsolicited reports, so a working connection has recent messages.
+const RECENT_MESSAGE_AGE: Micros = 500_000;
 
 /// The delay before the next dial to a server that could not be reached.
 pub(super) struct Backoff {
@@ -41,7 +43,7 @@
 }
 
 async fn run_connection(
-    frontend: Shared,
+    frontend: SharedFrontend,
     id: ConnectionId,
     address: SocketAddr,
     dial_timeout: Duration,
@@ -52,12 +54,12 @@
         Ok(Err(e)) => return frontend.borrow_mut().handle_dial_failure(id, Some(e.kind())),
         Err(_) => return frontend.borrow_mut().handle_dial_failure(id, None),
     };
-    // Whoever has left by now is heard before what waited for this connection goes out.
+    // Reads all pending input first, so that set-ups whose callers have cancelled or disconnected are not sent.
     link::read_pending_input().await;
     frontend.borrow_mut().handle_connection_up(id);
-    tracing::debug!(target: "link", id, %address, "a server's connection is up");
+    tracing::debug!(target: "link", id, %address, "connected to server");
     let on_line = |line: Line| {
-        frontend.borrow_mut().handle_server_line(id, line);
+        frontend.borrow_mut().handle_server_message(id, line);
         true
     };
     let on_drained = || {
@@ -68,13 +70,14 @@
         }
     };
     let ended = link::run(&mut stream, &outbox, MESSAGE_TIMEOUT, reader(on_line), on_drained).await;
-    tracing::debug!(target: "link", id, %address, ?ended, "a server's connection has ended");
+    tracing::debug!(target: "link", id, %address, ?ended, "connection to server ended");
     frontend.borrow_mut().handle_connection_end(id);
 }
 
 impl PlatformFrontend {
-    /// The connection for a new message to a server: the newest that is not quiet, or an older one that was heard a moment ago;
-    /// else one that is being dialled, now if need be. `None` if the server could not be reached a moment ago.
+    /// The connection for a new message to a server: the newest usable connection, or an older one with a recent
+    /// message; otherwise one that is being dialled; otherwise a new one. `None` if a new one cannot be dialled, for
+    /// example during the back-off after a failed dial.
     pub(super) fn usable_connection(
         &mut self,
         server: ServerId,
@@ -83,19 +86,20 @@
     ) -> Option<ConnectionId> {
         let active = self.servers.connections.iter().rev();
         let active = active.filter(|(_, connection)| connection.server == server && !connection.is_retired);
-        let is_fit = |position: usize, connection: &ServerConnection| {
-            let is_recent = position == 0 || now < connection.last_heard_at + RECENTLY_HEARD;
+        let is_eligible = |position: usize, connection: &ServerConnection| {
+            let is_recent = position == 0 || now < connection.last_received_at + RECENT_MESSAGE_AGE;
             connection.is_usable(now) && !connection.has_cancelled(tag, now) && is_recent
         };
-        let fit = active.enumerate().filter(|(position, (_, connection))| is_fit(*position, connection));
-        let fit: Vec<(ConnectionId, bool)> =
-            fit.map(|(_, (id, connection))| (*id, connection.is_up)).collect();
-        let best = fit.iter().find(|(_, is_up)| *is_up).or(fit.first());
+        let eligible =
+            active.enumerate().filter(|(position, (_, connection))| is_eligible(*position, connection));
+        let eligible: Vec<(ConnectionId, bool)> =
+            eligible.map(|(_, (id, connection))| (*id, connection.is_up)).collect();
+        let best = eligible.iter().find(|(_, is_up)| *is_up).or(eligible.first());
         best.map(|(id, _)| *id).or_else(|| self.dial(server, now))
     }
 
-    /// Dials a server, unless that failed a moment ago. With all its connections taken, the one that was heard least lately of
-    /// those that are idle makes way, and the dial begins when it has ended.
+    /// Dials a server, except during the back-off after a failed dial. At the maximum number of connections, the idle
+    /// one with the oldest last message is closed, and dialling begins when it has ended.
     pub(super) fn dial(&mut self, server: ServerId, now: Micros) -> Option<ConnectionId> {
         let address = self.directory.address(server)?;
         if self.servers.backoffs.get(&server).is_some_and(|backoff| now < backoff.not_before) {
@@ -120,10 +124,10 @@
         Some(id)
     }
 
-    /// Closes the idle connection that was heard least lately; `None`: there is none.
+    /// Closes the idle connection with the oldest last message and returns its id; `None` if no connection is idle.
     fn replace_idle_connection(&mut self, server: ServerId) -> Option<ConnectionId> {
         let idle = self.servers.connections_of(server).filter(|(_, connection)| connection.is_idle());
-        let (id, _) = idle.min_by_key(|(_, connection)| connection.last_heard_at)?;
+        let (id, _) = idle.min_by_key(|(_, connection)| connection.last_received_at)?;
         let connection = self.servers.connections.get_mut(&id)?;
         connection.outbox.close();
         connection.is_replaced = true;
@@ -134,13 +138,13 @@
         let now = clock::now();
         let Some(connection) = self.servers.connections.get_mut(&id) else { return };
         connection.is_up = true;
-        connection.last_heard_at = now;
+        connection.last_received_at = now;
         connection.silent_since = now;
         let server = connection.server;
         self.servers.backoffs.remove(&server);
-        let redial_from = self.servers.redial_to_hear_from.get(&server);
-        if redial_from.is_some_and(|from| connection.is_dialled_since(*from)) {
-            self.servers.redial_to_hear_from.remove(&server);
+        let redial_from = self.servers.redial_from.get(&server);
+        if redial_from.is_some_and(|from| connection.was_dialled_since(*from)) {
+            self.servers.redial_from.remove(&server);
         }
         let pending = self.servers.pending_releases.remove(&server).unwrap_or_default();
         connection.queued.extend(pending.into_iter().map(QueuedMessage::Release));
@@ -156,20 +160,20 @@
         backoff.not_before = now + backoff.delay;
         backoff.delay = (backoff.delay * 2).min(MAX_BACKOFF);
         let name = self.directory.name(server);
-        let why = error.map_or("timed out".into(), |e| e.to_string());
-        tracing::info!(server = name, address = %connection.address, error = why, "dial failed");
+        let reason = error.map_or("timed out".into(), |e| e.to_string());
+        tracing::info!(server = name, address = %connection.address, error = reason, "dial failed");
         self.return_queued(server, connection.queued);
         let is_open = |(_, other): (ConnectionId, &ServerConnection)| other.is_up && other.outbox.is_open();
         let has_open = self.servers.connections_of(server).any(is_open);
         if error == Some(io::ErrorKind::ConnectionRefused) && !has_open {
-            // Nothing listens there, and no connection is left: the process has ended, and what it held with it. One that drains
-            // listens no more either, but its connections stay until its calls are over (found on a recorded day: one refused
-            // dial ended 81 calls 2 s before their server did).
+            // The dial was refused and no other connection is open: the server's process has ended, and its calls
+            // with it. A draining server does not listen either, but keeps its connections until its calls have ended
+            // (on a recorded day, one refused dial ended 81 calls 2 s before their server did).
             self.feed(Input::ServerTerminated { server, at: now });
         }
     }
 
-    /// Counts the set-ups whose last byte the system has taken.
+    /// Counts the set-ups that have been written in full to the socket.
     fn count_written_setups(&mut self, id: ConnectionId) {
         let Some(connection) = self.servers.connections.get_mut(&id) else { return };
         let outbox = connection.outbox.clone();
@@ -184,40 +188,42 @@
         self.count_written_setups(id);
         let Some(mut connection) = self.servers.connections.remove(&id) else { return };
         let server = connection.server;
-        // A server reports the end of a call where the call was set up, or on any open connection, and again on the next one that is
-        // opened. What crossed the end of this one is heard only there. Guards against calls whose end is never heard (found on
-        // days with many departing callers: one call in some 6,700 ended in the millisecond in which a connection was closed
-        // because a newer one had come up). The server has to see the end before it takes the next one in, or it says nothing
-        // again (found on days with silent connections: one call in some 2,000, its server's message cut off by an end 2 ms before
-        // the next dial). A connection that makes way has its successor, which waits for as long.
+        // A server reports a call's end on the connection of the set-up or on any open connection, and repeats it on
+        // the next connection that is opened. A report that crosses the end of this connection is received only by
+        // that repetition, so a new connection is dialled. Without it some ends of calls are never received: on
+        // recorded days with many departing callers, one call in some 6,700 ended in the millisecond in which a
+        // connection was closed because a newer one was up. The server must detect the end of this connection before
+        // it accepts the next, or it does not repeat the report: on recorded days with silent connections, one call
+        // in some 2,000 was lost by a close 2 ms before the next dial. A replaced connection needs no redial, because
+        // its replacement is dialled after the same delay.
         if self.servers.has_established_calls(server) && !connection.is_replaced {
-            self.servers.redial_to_hear_from.insert(server, clock::now() + CLOSE_SEEN_AFTER);
+            self.servers.redial_from.insert(server, clock::now() + CLOSE_PROPAGATION_TIME);
         }
         for release in std::mem::take(&mut connection.unconfirmed_releases) {
-            // Unless another call of that id is there by now.
-            if !self.servers.attempts.contains_key(&CallAtServer { server, tag: release.tag }) {
+            // Not sent if another call with that id is at the server by now.
+            if !self.servers.attempts.contains_key(&CallKey { server, tag: release.tag }) {
                 self.send_release(server, release.tag);
             }
         }
         for (tag, ticket) in std::mem::take(&mut connection.unanswered) {
-            // What was not begun to be written has never run, and need not wait for its retry.
+            // A set-up of which nothing was written had no effect and may be retried at once.
             let is_unwritten = connection.outbox.withdraw(ticket);
             let outcome = if is_unwritten { Outcome::Unreachable } else { Outcome::Reset };
-            let slot = self.servers.attempts.get(&CallAtServer { server, tag });
-            if let Some(slot) = slot.filter(|slot| slot.connection == id && !slot.is_established) {
-                self.end_attempt(slot.attempt, outcome, Cause::Unspecified, LoadReport::default());
+            let entry = self.servers.attempts.get(&CallKey { server, tag });
+            if let Some(entry) = entry.filter(|entry| entry.connection == id && !entry.is_established) {
+                self.end_attempt(entry.attempt, outcome, Cause::Unspecified, LoadReport::default());
             }
         }
         self.return_queued(server, connection.queued);
         self.maintain_servers(clock::now());
     }
 
-    /// Makes sure that a server that is wanted has a usable connection, and retires those that have a successor.
+    /// Dials a server that is in use and has no usable connection, and retires connections that others have replaced.
     pub(super) fn maintain_connections(&mut self, server: ServerId, now: Micros) {
         let address = self.directory.address(server);
         let (mut has_usable, mut has_usable_up, mut has_any) = (false, false, false);
         for connection in self.servers.connections.values_mut().filter(|c| c.server == server) {
-            connection.is_retired |= Some(connection.address) != address; // it moved
+            connection.is_retired |= Some(connection.address) != address; // the server's address has changed
             let is_usable = connection.is_usable(now);
             has_any |= !connection.is_retired;
             has_usable |= is_usable;
@@ -231,17 +237,17 @@
         if is_wanted && (!has_any || !has_usable) {
             self.dial(server, now);
         }
-        self.redial_to_hear(server, now);
+        self.redial_for_missed_ends(server, now);
     }
 
-    /// Dials anew where ends of calls may have been lost with an ended connection.
-    fn redial_to_hear(&mut self, server: ServerId, now: Micros) {
-        let Some(from) = self.servers.redial_to_hear_from.get(&server).copied() else { return };
+    /// Dials a server again if its reports of ended calls may have been lost with an ended connection.
+    fn redial_for_missed_ends(&mut self, server: ServerId, now: Micros) {
+        let Some(from) = self.servers.redial_from.get(&server).copied() else { return };
         let mut connections = self.servers.connections_of(server);
-        let is_dialled = connections.any(|(_, connection)| connection.is_dialled_since(from));
+        let is_dialled = connections.any(|(_, connection)| connection.was_dialled_since(from));
         drop(connections);
         if !self.servers.has_calls(server) {
-            self.servers.redial_to_hear_from.remove(&server);
+            self.servers.redial_from.remove(&server);
         } else if !is_dialled && now >= from {
             self.dial(server, now);
         }
@@ -249,12 +255,13 @@
 }
 
 impl super::Servers {
-    /// What has gone quiet has a successor; what nothing can be said on any more is not kept.
+    /// Retires suspect connections of a server, and all but the newest usable one if the server has no calls. Called
+    /// only when there is a usable connection.
     fn retire_replaceable(&mut self, server: ServerId, has_calls: bool, now: Micros) {
         let mut is_newest = true;
         let newest_first = self.connections.values_mut().rev();
         for connection in newest_first.filter(|connection| connection.server == server && connection.is_up) {
-            connection.is_retired |= connection.is_quiet(now) || !is_newest && !has_calls;
+            connection.is_retired |= connection.is_suspect(now) || !is_newest && !has_calls;
             is_newest &= connection.is_retired;
         }
     }
@@ -273,13 +280,13 @@
         }
     }
 
-    /// Closes retired connections on which nothing is open.
+    /// Closes retired connections on which nothing is unanswered or queued, or whose heartbeat has stopped.
     pub(super) fn close_retired(&mut self, now: Micros) {
         for connection in self.connections.values_mut() {
-            connection.forget_confirmed(now);
-            // On a cut connection no answer comes in time any more, and another is up: what is open there is cancelled now, and
-            // may be established in time by a retry (found on days with silent connections: set-ups were awaited until their
-            // time-outs, and their server was closed for a jam that was none).
+            connection.expire_confirmed(now);
+            // No answer comes in time on a broken connection, and another is up. Closing it ends its set-ups now, so
+            // that retries can still succeed in time. (On recorded days with silent connections, set-ups were awaited
+            // until they timed out, and their server was excluded as overloaded although it was not.)
             let is_done = connection.unanswered.is_empty() && connection.queued.is_empty();
             if connection.is_retired && (is_done || connection.has_lost_heartbeat(now)) {
                 connection.outbox.close();
@@ -288,14 +295,14 @@
     }
 }
 
-/// Waits until a replaced connection has ended and its server has seen that. An end of a call that crosses the close is
-/// reported again on the connection that is opened next.
-async fn wait_for_end(frontend: &Shared, replaced: ConnectionId) {
+/// Waits until a replaced connection has ended and its server has detected that. The server then repeats the report
+/// of a call's end that crossed the close on the next connection.
+async fn wait_for_end(frontend: &SharedFrontend, replaced: ConnectionId) {
     for _ in 0..CLOSE_TURNS {
         if !frontend.borrow().servers.connections.contains_key(&replaced) {
             break;
         }
         tokio::task::yield_now().await;
     }
-    tokio::time::sleep(Duration::from_micros(CLOSE_SEEN_AFTER)).await;
+    tokio::time::sleep(Duration::from_micros(CLOSE_PROPAGATION_TIME)).await;
 }
