--- a/src/bin/cobaltspool-simulator-adapter/host.rs
+++ b/src/bin/cobaltspool-simulator-adapter/gatekeeper.rs
@@ -9,7 +9,8 @@
 
 use crate::error::AdapterError;
 use crate::wire::{
-    AckFirst, Act, Element, Ending, Inbox, Msg, PeersKnown, PingResult, Profile, Reminder, Reply, Scope,
+    AckFirst, Element, Ending, Inbox, InputMessage, OutputMessage, PeersKnown, PingResult, Profile, Reminder,
+    Reply, Scope,
 };
 use crate::{from_wire, to_wire};
 
@@ -17,7 +18,7 @@
 pub type ServerLists = BTreeMap<u64, Vec<Element>>;
 
 /// A gatekeeper's controller, and the ids of the servers that its lists have named.
-pub struct Host {
+pub struct SimulatedGatekeeper {
     controller: Controller,
     ids: BTreeMap<Rc<str>, ServerId>,
     names: Vec<Rc<str>>,
@@ -25,7 +26,7 @@
     actions: Vec<Action>,
 }
 
-impl Host {
+impl SimulatedGatekeeper {
     /// A gatekeeper that has seen no event.
     pub fn new(profile: &Profile, random_seed: u64) -> Self {
         Self {
@@ -41,35 +42,35 @@
         self.names[server.0 as usize].clone()
     }
 
-    /// Passes a message to the controller and appends its actions to `acts`.
+    /// Passes a message to the controller and appends its actions to `output`.
     pub fn handle(
         &mut self,
         now: Micros,
-        message: Msg,
+        message: InputMessage,
         lists: &ServerLists,
-        acts: &mut Vec<Act>,
+        output: &mut Vec<OutputMessage>,
     ) -> Result<(), AdapterError> {
         let Some(front) = message.front() else { return Ok(()) };
         let Some(event) = self.event(message, lists)? else { return Ok(()) };
         let mut actions = std::mem::take(&mut self.actions);
         self.controller.handle(now, event, &mut actions);
-        acts.extend(actions.drain(..).map(|action| to_wire::act(front, self, action)));
+        output.extend(actions.drain(..).map(|action| to_wire::output_message(front, self, action)));
         self.actions = actions;
         Ok(())
     }
 
     /// Translates a message; `None` if it is not an event of a controller.
-    fn event(&mut self, message: Msg, lists: &ServerLists) -> Result<Option<Event>, AdapterError> {
+    fn event(&mut self, message: InputMessage, lists: &ServerLists) -> Result<Option<Event>, AdapterError> {
         let event = match message {
-            Msg::Begin(_) | Msg::Directory(_) | Msg::Killed(_) => return Ok(None),
-            Msg::PeersKnown(message) => self.endpoint_list(&message, lists)?,
-            Msg::Query(query) => Event::Call(from_wire::new_call(query)),
-            Msg::Inbox(inbox) => peer_message(&inbox)?,
-            Msg::Aborted(aborted) => Event::CallerGone { call: CallId(aborted.request_id) },
-            Msg::Reply(reply) => Event::AttemptEnded(self.attempt_end(&reply)),
-            Msg::PingResult(result) => self.load(&result),
-            Msg::Reminder(reminder) => timer(&reminder)?,
-            Msg::AckFirst(ack) => self.established(&ack),
+            InputMessage::Begin(_) | InputMessage::Directory(_) | InputMessage::Killed(_) => return Ok(None),
+            InputMessage::PeersKnown(message) => self.endpoint_list(&message, lists)?,
+            InputMessage::Query(query) => Event::Call(from_wire::new_call(query)),
+            InputMessage::Inbox(inbox) => peer_message(&inbox)?,
+            InputMessage::Aborted(aborted) => Event::CallerGone { call: CallId(aborted.request_id) },
+            InputMessage::Reply(reply) => Event::AttemptEnded(self.attempt_end(&reply)),
+            InputMessage::PingResult(result) => self.load(&result),
+            InputMessage::Reminder(reminder) => timer(&reminder)?,
+            InputMessage::AckFirst(ack) => self.established(&ack),
         };
         Ok(Some(event))
     }
--- a/src/bin/cobaltspool-simulator-adapter/main.rs
+++ b/src/bin/cobaltspool-simulator-adapter/main.rs
@@ -3,7 +3,7 @@
 
 mod error;
 mod from_wire;
-mod host;
+mod gatekeeper;
 mod to_wire;
 mod wire;
 
@@ -14,13 +14,13 @@
 use cobaltspool::Micros;
 
 use error::AdapterError;
-use host::{Host, ServerLists};
-use wire::{Act, Batch, BatchReply, Msg};
+use gatekeeper::{ServerLists, SimulatedGatekeeper};
+use wire::{Batch, BatchReply, InputMessage, OutputMessage};
 
 /// All gatekeepers of a simulation.
 #[derive(Default)]
 struct Adapter {
-    hosts: BTreeMap<u64, Host>,
+    gatekeepers: BTreeMap<u64, SimulatedGatekeeper>,
     lists: ServerLists,
 }
 
@@ -36,21 +36,30 @@
         Ok(BatchReply { frame, actions })
     }
 
-    fn handle(&mut self, now: Micros, message: Msg, acts: &mut Vec<Act>) -> Result<(), AdapterError> {
+    fn handle(
+        &mut self,
+        now: Micros,
+        message: InputMessage,
+        output: &mut Vec<OutputMessage>,
+    ) -> Result<(), AdapterError> {
         match message {
-            Msg::Directory(list) => {
+            InputMessage::Directory(list) => {
                 self.lists.insert(list.r#ref, list.elements);
             }
-            Msg::Begin(begin) => {
-                self.hosts.insert(begin.front, Host::new(&begin.profile_data, begin.random_seed));
+            InputMessage::Begin(begin) => {
+                self.gatekeepers
+                    .insert(begin.front, SimulatedGatekeeper::new(&begin.profile_data, begin.random_seed));
             }
-            Msg::Killed(killed) => {
-                self.hosts.remove(&killed.front).ok_or(AdapterError::UnknownGatekeeper(killed.front))?;
+            InputMessage::Killed(killed) => {
+                self.gatekeepers
+                    .remove(&killed.front)
+                    .ok_or(AdapterError::UnknownGatekeeper(killed.front))?;
             }
             event => {
                 let front = event.front().unwrap_or_default();
-                let host = self.hosts.get_mut(&front).ok_or(AdapterError::UnknownGatekeeper(front))?;
-                host.handle(now, event, &self.lists, acts)?;
+                let gatekeeper =
+                    self.gatekeepers.get_mut(&front).ok_or(AdapterError::UnknownGatekeeper(front))?;
+                gatekeeper.handle(now, event, &self.lists, output)?;
             }
         }
         Ok(())
--- a/src/bin/cobaltspool-simulator-adapter/wire.rs
+++ b/src/bin/cobaltspool-simulator-adapter/wire.rs
@@ -9,13 +9,13 @@
     #[serde(rename = "clock-us")]
     pub clock: u64,
     pub frame: u64,
-    pub msgs: Vec<Msg>,
+    pub msgs: Vec<InputMessage>,
 }
 
 /// One message from the simulator.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Msg {
+pub enum InputMessage {
     Begin(Begin),
     Directory(Directory),
     PeersKnown(PeersKnown),
@@ -29,7 +29,7 @@
     AckFirst(AckFirst),
 }
 
-impl Msg {
+impl InputMessage {
     /// The gatekeeper that the message is for; `None` for a server list, which is shared.
     pub fn front(&self) -> Option<u64> {
         match self {
@@ -237,7 +237,7 @@
     pub discovery: String,
     pub services: Vec<Service>,
     pub ceilings: Ceilings,
-    pub rules: RuleFigures,
+    pub rules: RuleParameters,
     #[serde(default)]
     pub domain: Domain,
 }
@@ -274,7 +274,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct RuleFigures {
+pub struct RuleParameters {
     #[serde(default)]
     pub answer_slack_us: u64,
     #[serde(default)]
@@ -302,12 +302,12 @@
 #[derive(Serialize)]
 pub struct BatchReply {
     pub frame: u64,
-    pub actions: Vec<Act>,
+    pub actions: Vec<OutputMessage>,
 }
 
 #[derive(Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Act {
+pub enum OutputMessage {
     #[serde(rename_all = "kebab-case")]
     Dispatch {
         front: u64,
--- a/src/driver.rs
+++ b/src/driver.rs
@@ -72,7 +72,7 @@
 
     /// Whether this process accepts clients: it is in service and has received an endpoint list.
     pub fn is_ready(&self) -> bool {
-        self.list_received_at.is_some() && self.serving_state.takes_clients()
+        self.list_received_at.is_some() && self.serving_state.is_in_service()
     }
 
     /// Current metrics of the core.
@@ -85,7 +85,7 @@
             in_flight: self.gateway.pending_calls() + self.gateway.established_calls(),
             servers_known: servers.listed,
             servers_excluded: servers.excluded,
-            list_silent_s: Duration::from_micros(list_age).as_secs() as usize,
+            list_age_s: Duration::from_micros(list_age).as_secs() as usize,
         }
     }
 
@@ -96,7 +96,7 @@
             established_calls: self.gateway.established_calls(),
             client_connections,
         };
-        self.serving_state.may_end(now, open)
+        self.serving_state.may_exit(now, open)
     }
 }
 
--- a/src/fleet/runtime.rs
+++ b/src/fleet/runtime.rs
@@ -350,7 +350,7 @@
             ready: admin.is_ready(),
             draining: admin.is_out_of_service(),
             leaving: admin.is_shutting_down(),
-            calls: u32::try_from(admin.calls()).unwrap_or(u32::MAX),
+            calls: u32::try_from(admin.open_call_count()).unwrap_or(u32::MAX),
             list_age: age,
             ops_digest: self.ops,
             ..MemberInfo::at(self.address.get())
--- a/src/operate/admin.rs
+++ b/src/operate/admin.rs
@@ -15,7 +15,7 @@
 use tokio::time::timeout;
 
 use super::AdminService;
-use super::http::{self, Answer, Read};
+use super::http::{self, ParseResult, Response};
 
 /// Maximum number of connections; with the servers' they share the half of the descriptors that clients do not get.
 const MAX_CONNECTIONS: usize = 16;
@@ -23,7 +23,7 @@
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 /// The answer is written, and what the caller still sends is read, within this: a close over unread bytes would reset the
 /// connection and take the answer with it.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The endpoint cannot listen.
 #[derive(Debug, thiserror::Error)]
@@ -89,16 +89,18 @@
 ) {
     let mut buffer = BytesMut::with_capacity(512);
     let read = tokio::select! {
-        read = timeout(REQUEST_TIMEOUT, read_call(&mut stream, &mut buffer)) => {
-            read.unwrap_or(Some(Read::Bad(408)))
+        read = timeout(REQUEST_TIMEOUT, read_request(&mut stream, &mut buffer)) => {
+            read.unwrap_or(Some(ParseResult::Invalid(408)))
         }
         () = close.notified() => None,
     };
     unfinished.borrow_mut().retain(|other| !Rc::ptr_eq(other, close));
     let (answer, is_head) = match read {
-        Some(Read::Call(method, path)) => (service.answer(&method, &path), method == "HEAD"),
-        Some(Read::Bad(status)) => (Answer::plain(status), false),
-        Some(Read::More) | None => return,
+        Some(ParseResult::Request(method, path)) => {
+            (service.handle_request(&method, &path), method == "HEAD")
+        }
+        Some(ParseResult::Invalid(status)) => (Response::from_status(status), false),
+        Some(ParseResult::Incomplete) | None => return,
     };
     let write = async {
         stream.write_all(&answer.to_bytes(is_head)).await?;
@@ -107,17 +109,17 @@
         while stream.read(&mut rest).await? > 0 {}
         Ok::<_, io::Error>(())
     };
-    let _ = timeout(ANSWER_TIMEOUT, write).await;
+    let _ = timeout(RESPONSE_TIMEOUT, write).await;
 }
 
 /// Reads until there is a call, or none can come; `None`: the caller has left.
-async fn read_call(stream: &mut TcpStream, buffer: &mut BytesMut) -> Option<Read> {
+async fn read_request(stream: &mut TcpStream, buffer: &mut BytesMut) -> Option<ParseResult> {
     loop {
         if stream.read_buf(buffer).await.ok()? == 0 {
             return None;
         }
-        match http::read(buffer) {
-            Read::More => {}
+        match http::parse_request(buffer) {
+            ParseResult::Incomplete => {}
             read => return Some(read),
         }
     }
--- a/src/operate/handover.rs
+++ b/src/operate/handover.rs
@@ -35,7 +35,7 @@
 
 /// What the old process knows of a server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct KnownServer {
+pub struct ServerSnapshot {
     /// Its id.
     pub server: String,
     /// For how long it has been known to drain; `None`: it takes calls.
@@ -51,23 +51,23 @@
 
 /// What a known server's state amounts to for the decision module.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum KnownLoad {
+pub enum SnapshotLoad {
     /// It does not answer.
     NoAnswer,
     /// Its last report, which is recent enough.
     Reported(LoadReport),
 }
 
-impl KnownServer {
+impl ServerSnapshot {
     /// What the decision module is to be told; `None`: nothing that still holds.
-    pub fn load(&self) -> Option<KnownLoad> {
+    pub fn load(&self) -> Option<SnapshotLoad> {
         if self.is_ejected {
-            return Some(KnownLoad::NoAnswer);
+            return Some(SnapshotLoad::NoAnswer);
         }
         let (age, wait_ms) = self.last_report?;
         let is_valid = age <= MAX_REPORT_AGE && wait_ms.is_finite() && wait_ms >= 0.0;
         let report = LoadReport { queueing_delay_ms: Some(wait_ms), ..LoadReport::default() };
-        is_valid.then_some(KnownLoad::Reported(report))
+        is_valid.then_some(SnapshotLoad::Reported(report))
     }
 }
 
@@ -85,7 +85,7 @@
     },
     /// What it knows of a server.
     #[serde(rename = "server")]
-    Server(KnownServer),
+    Server(ServerSnapshot),
     /// That was all; the new process may begin.
     #[serde(rename = "begin")]
     Begin,
@@ -139,27 +139,27 @@
 
 /// What the new process has received before it begins.
 #[derive(Debug, Default, PartialEq)]
-pub struct Inheritance {
+pub struct ReceivedHandover {
     /// The number of the old process's list; `None`: it has not sent its version yet.
     pub seq: Option<u32>,
     /// What it knows of servers.
-    pub servers: Vec<KnownServer>,
+    pub servers: Vec<ServerSnapshot>,
 }
 
 /// What a message meant for an inheritance.
 #[derive(Debug, PartialEq)]
-pub enum InheritanceProgress {
+pub enum HandoverProgress {
     /// There is more to come.
     Incomplete,
     /// That was all.
     Complete,
     /// It cannot be used.
-    Refused(InheritanceError),
+    Refused(HandoverError),
 }
 
 /// Why an inheritance cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum InheritanceError {
+pub enum HandoverError {
     /// The old process sends another version of the messages.
     #[error("it is of another version")]
     OtherVersion,
@@ -168,23 +168,23 @@
     OutOfOrder,
 }
 
-impl Inheritance {
+impl ReceivedHandover {
     /// Takes the next message.
-    pub fn handle_message(&mut self, message: HandoverMessage) -> InheritanceProgress {
+    pub fn handle_message(&mut self, message: HandoverMessage) -> HandoverProgress {
         match message {
             HandoverMessage::Hello { version, .. } if version != VERSION => {
-                InheritanceProgress::Refused(InheritanceError::OtherVersion)
+                HandoverProgress::Refused(HandoverError::OtherVersion)
             }
             HandoverMessage::Hello { seq, .. } if self.seq.is_none() => {
                 self.seq = Some(seq);
-                InheritanceProgress::Incomplete
+                HandoverProgress::Incomplete
             }
             HandoverMessage::Server(known) if self.seq.is_some() && self.servers.len() < MAX_SERVERS => {
                 self.servers.push(known);
-                InheritanceProgress::Incomplete
+                HandoverProgress::Incomplete
             }
-            HandoverMessage::Begin if self.seq.is_some() => InheritanceProgress::Complete,
-            _ => InheritanceProgress::Refused(InheritanceError::OutOfOrder),
+            HandoverMessage::Begin if self.seq.is_some() => HandoverProgress::Complete,
+            _ => HandoverProgress::Refused(HandoverError::OutOfOrder),
         }
     }
 }
@@ -200,14 +200,14 @@
     /// This is the old one: the new one has started.
     Older {
         /// The new one takes clients.
-        is_succeeded: bool,
+        successor_is_serving: bool,
     },
 }
 
 impl Role {
     /// Whether another process takes clients at this address, so that this one may end.
     pub fn has_successor(self) -> bool {
-        self == Role::Older { is_succeeded: true }
+        self == Role::Older { successor_is_serving: true }
     }
 
     /// Whether two processes share what is one gatekeeper's.
--- a/src/operate/handover/tests.rs
+++ b/src/operate/handover/tests.rs
@@ -1,4 +1,4 @@
-//! Inheritance, load reports and the messages' lines.
+//! ReceivedHandover, load reports and the messages' lines.
 
 use proptest::prelude::*;
 use rstest::rstest;
@@ -10,27 +10,32 @@
     is_ejected: bool,
     last_report: Option<(Micros, f64)>,
 ) -> HandoverMessage {
-    HandoverMessage::Server(KnownServer { server: "s-1".to_string(), draining_for, is_ejected, last_report })
+    HandoverMessage::Server(ServerSnapshot {
+        server: "s-1".to_string(),
+        draining_for,
+        is_ejected,
+        last_report,
+    })
 }
 
 const HELLO: HandoverMessage = HandoverMessage::Hello { version: VERSION, seq: 7 };
 
 #[rstest]
-#[case::whole(vec![HELLO, known(None, false, None), HandoverMessage::Begin], InheritanceProgress::Complete)]
-#[case::no_servers(vec![HELLO, HandoverMessage::Begin], InheritanceProgress::Complete)]
-#[case::torn(vec![HELLO, known(None, false, None)], InheritanceProgress::Incomplete)]
-#[case::nothing_said(vec![], InheritanceProgress::Incomplete)]
-#[case::other_version(vec![HandoverMessage::Hello { version: VERSION + 1, seq: 7 }], InheritanceProgress::Refused(InheritanceError::OtherVersion))]
-#[case::no_hello(vec![HandoverMessage::Begin], InheritanceProgress::Refused(InheritanceError::OutOfOrder))]
-#[case::hello_twice(vec![HELLO, HELLO], InheritanceProgress::Refused(InheritanceError::OutOfOrder))]
-#[case::call_too_early(vec![HELLO, HandoverMessage::Serving], InheritanceProgress::Refused(InheritanceError::OutOfOrder))]
+#[case::whole(vec![HELLO, known(None, false, None), HandoverMessage::Begin], HandoverProgress::Complete)]
+#[case::no_servers(vec![HELLO, HandoverMessage::Begin], HandoverProgress::Complete)]
+#[case::torn(vec![HELLO, known(None, false, None)], HandoverProgress::Incomplete)]
+#[case::nothing_said(vec![], HandoverProgress::Incomplete)]
+#[case::other_version(vec![HandoverMessage::Hello { version: VERSION + 1, seq: 7 }], HandoverProgress::Refused(HandoverError::OtherVersion))]
+#[case::no_hello(vec![HandoverMessage::Begin], HandoverProgress::Refused(HandoverError::OutOfOrder))]
+#[case::hello_twice(vec![HELLO, HELLO], HandoverProgress::Refused(HandoverError::OutOfOrder))]
+#[case::call_too_early(vec![HELLO, HandoverMessage::Serving], HandoverProgress::Refused(HandoverError::OutOfOrder))]
 fn inheritance_is_complete_or_nothing(
     #[case] messages: Vec<HandoverMessage>,
-    #[case] wanted: InheritanceProgress,
+    #[case] wanted: HandoverProgress,
 ) {
-    let mut held = Inheritance::default();
+    let mut held = ReceivedHandover::default();
     let last = messages.into_iter().map(|message| held.handle_message(message)).last();
-    assert_eq!(last.unwrap_or(InheritanceProgress::Incomplete), wanted);
+    assert_eq!(last.unwrap_or(HandoverProgress::Incomplete), wanted);
 }
 
 #[rstest]
@@ -47,8 +52,8 @@
     let HandoverMessage::Server(known) = message else { unreachable!() };
     assert_eq!(
         known.load().map(|load| match load {
-            KnownLoad::NoAnswer => (false, None),
-            KnownLoad::Reported(report) => (true, report.queueing_delay_ms),
+            SnapshotLoad::NoAnswer => (false, None),
+            SnapshotLoad::Reported(report) => (true, report.queueing_delay_ms),
         }),
         wanted
     );
@@ -63,7 +68,7 @@
         let report = Some((Micros::from(age), 1.5));
         for message in [
             HandoverMessage::Hello { version: VERSION, seq },
-            HandoverMessage::Server(KnownServer { server: server.clone(), draining_for: Some(3), is_ejected: false, last_report: report }),
+            HandoverMessage::Server(ServerSnapshot { server: server.clone(), draining_for: Some(3), is_ejected: false, last_report: report }),
             HandoverMessage::Begin,
             HandoverMessage::Serving,
             HandoverMessage::Established(EstablishedCall { tag: tag.clone(), server: server.clone(), class: server.clone(), peer }),
@@ -91,7 +96,7 @@
     let peer = IpAddr::from([127, 0, 0, 1]);
     let tag = || "9b1f03aa5c7e2d41".to_string();
     let server = |server: &str, draining_for, is_ejected, last_report| {
-        HandoverMessage::Server(KnownServer {
+        HandoverMessage::Server(ServerSnapshot {
             server: server.to_string(),
             draining_for,
             is_ejected,
--- a/src/operate/http.rs
+++ b/src/operate/http.rs
@@ -3,48 +3,48 @@
 use std::fmt::Write as _;
 
 /// The longest head, in bytes.
-pub const HEAD_BYTES: usize = 4 * 1024;
+pub const MAX_HEAD_BYTES: usize = 4 * 1024;
 /// The longest body, in bytes. No call needs one; what comes is read and left aside.
-pub const BODY_BYTES: usize = 4 * 1024;
+pub const MAX_BODY_BYTES: usize = 4 * 1024;
 /// More header lines than this are too many.
 const MAX_HEADERS: usize = 32;
 
 /// What stands in a connection's buffer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Read {
+pub enum ParseResult {
     /// Not a whole call yet.
-    More,
+    Incomplete,
     /// A call: its method, and its path without the query.
-    Call(String, String),
+    Request(String, String),
     /// No call, and the status that says why.
-    Bad(u16),
+    Invalid(u16),
 }
 
 /// Reads a call; its body, if it has one, must have come whole.
-pub fn read(buffer: &[u8]) -> Read {
+pub fn parse_request(buffer: &[u8]) -> ParseResult {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     let head = match request.parse(buffer) {
-        Ok(httparse::Status::Complete(size)) if size <= HEAD_BYTES => size,
-        Ok(httparse::Status::Partial) if buffer.len() < HEAD_BYTES => return Read::More,
-        Ok(_) | Err(httparse::Error::TooManyHeaders) => return Read::Bad(431),
-        Err(httparse::Error::Version) => return Read::Bad(505),
-        Err(_) => return Read::Bad(400),
+        Ok(httparse::Status::Complete(size)) if size <= MAX_HEAD_BYTES => size,
+        Ok(httparse::Status::Partial) if buffer.len() < MAX_HEAD_BYTES => return ParseResult::Incomplete,
+        Ok(_) | Err(httparse::Error::TooManyHeaders) => return ParseResult::Invalid(431),
+        Err(httparse::Error::Version) => return ParseResult::Invalid(505),
+        Err(_) => return ParseResult::Invalid(400),
     };
-    let size = match body_size(request.headers) {
+    let size = match body_length(request.headers) {
         Ok(size) => size,
-        Err(status) => return Read::Bad(status),
+        Err(status) => return ParseResult::Invalid(status),
     };
     if buffer.len() < head + size {
-        return Read::More;
+        return ParseResult::Incomplete;
     }
     let (method, target) = (request.method.unwrap_or_default(), request.path.unwrap_or_default());
     let path = target.split(['?', '#']).next().unwrap_or_default();
-    Read::Call(method.to_string(), path.to_string())
+    ParseResult::Request(method.to_string(), path.to_string())
 }
 
 /// The size of a call's body; or the status that says why it cannot be read.
-fn body_size(headers: &[httparse::Header]) -> Result<usize, u16> {
+fn body_length(headers: &[httparse::Header]) -> Result<usize, u16> {
     let mut body = None;
     for header in headers {
         if header.name.eq_ignore_ascii_case("transfer-encoding") {
@@ -68,14 +68,14 @@
     }
     match body {
         None => Ok(0),
-        Some(Some(size)) if size <= BODY_BYTES => Ok(size),
+        Some(Some(size)) if size <= MAX_BODY_BYTES => Ok(size),
         Some(_) => Err(413),
     }
 }
 
 /// One answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
     /// Its status.
     pub status: u16,
     /// Methods that would do, where the call's does not.
@@ -83,35 +83,35 @@
     /// Its text.
     pub body: String,
     /// It is a JSON object.
-    pub json: bool,
+    pub is_json: bool,
 }
 
-impl Answer {
+impl Response {
     /// An answer with a line of text.
-    pub fn new(status: u16, text: impl Into<String>) -> Answer {
-        Answer { status, allow: None, body: text.into(), json: false }
+    pub fn new(status: u16, text: impl Into<String>) -> Response {
+        Response { status, allow: None, body: text.into(), is_json: false }
     }
 
     /// An answer with a JSON object.
-    pub fn json(object: String) -> Answer {
-        Answer { json: true, ..Answer::new(200, object) }
+    pub fn json(object: String) -> Response {
+        Response { is_json: true, ..Response::new(200, object) }
     }
 
     /// An answer that says no more than its status does.
-    pub fn plain(status: u16) -> Answer {
-        Answer::new(status, format!("{}\n", reason(status)))
+    pub fn from_status(status: u16) -> Response {
+        Response::new(status, format!("{}\n", reason_phrase(status)))
     }
 
     /// As it goes out; the body is left out where the call was HEAD.
     pub fn to_bytes(&self, head_only: bool) -> Vec<u8> {
-        let mut text = format!("HTTP/1.1 {} {}\r\n", self.status, reason(self.status));
+        let mut text = format!("HTTP/1.1 {} {}\r\n", self.status, reason_phrase(self.status));
         if let Some(allow) = self.allow {
             let _ = write!(text, "Allow: {allow}\r\n");
         }
         let _ = write!(
             text,
             "Content-Type: {}\r\nContent-Length: {}\r\nCache-Control: no-store\r\nConnection: close\r\n\r\n",
-            if self.json { "application/json" } else { "text/plain; version=0.0.4; charset=utf-8" },
+            if self.is_json { "application/json" } else { "text/plain; version=0.0.4; charset=utf-8" },
             self.body.len()
         );
         if !head_only {
@@ -121,7 +121,7 @@
     }
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
--- a/src/operate/http/tests.rs
+++ b/src/operate/http/tests.rs
@@ -5,8 +5,8 @@
 
 use super::*;
 
-fn call(method: &str, path: &str) -> Read {
-    Read::Call(method.to_string(), path.to_string())
+fn call(method: &str, path: &str) -> ParseResult {
+    ParseResult::Request(method.to_string(), path.to_string())
 }
 
 #[rstest]
@@ -17,18 +17,24 @@
     "PUT /a HTTP/1.1\r\nContent-Length: 0\r\ncontent-length: 0\r\n\r\n",
     call("PUT", "/a")
 )]
-#[case::half_a_head("GET /control/ready HT", Read::More)]
-#[case::half_a_body("PUT /a HTTP/1.1\r\nContent-Length: 3\r\n\r\n{}", Read::More)]
-#[case::no_http("{\"verb\":\"ECHO\"}\n\n", Read::Bad(400))]
-#[case::other_version("GET / HTTP/3.0\r\n\r\n", Read::Bad(505))]
-#[case::long_body("PUT /a HTTP/1.1\r\nContent-Length: 4097\r\n\r\n", Read::Bad(413))]
-#[case::huge_body("PUT /a HTTP/1.1\r\nContent-Length: 99999999999999999999999\r\n\r\n", Read::Bad(413))]
-#[case::negative_body("PUT /a HTTP/1.1\r\nContent-Length: -1\r\n\r\n", Read::Bad(400))]
-#[case::two_lengths("PUT /a HTTP/1.1\r\nContent-Length: 0\r\nContent-Length: 9\r\n\r\n", Read::Bad(400))]
-#[case::chunked("PUT /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", Read::Bad(411))]
-#[case::expects("PUT /a HTTP/1.1\r\nExpect: 100-continue\r\n\r\n", Read::Bad(417))]
-fn calls_are_read(#[case] text: &str, #[case] wanted: Read) {
-    assert_eq!(read(text.as_bytes()), wanted);
+#[case::half_a_head("GET /control/ready HT", ParseResult::Incomplete)]
+#[case::half_a_body("PUT /a HTTP/1.1\r\nContent-Length: 3\r\n\r\n{}", ParseResult::Incomplete)]
+#[case::no_http("{\"verb\":\"ECHO\"}\n\n", ParseResult::Invalid(400))]
+#[case::other_version("GET / HTTP/3.0\r\n\r\n", ParseResult::Invalid(505))]
+#[case::long_body("PUT /a HTTP/1.1\r\nContent-Length: 4097\r\n\r\n", ParseResult::Invalid(413))]
+#[case::huge_body(
+    "PUT /a HTTP/1.1\r\nContent-Length: 99999999999999999999999\r\n\r\n",
+    ParseResult::Invalid(413)
+)]
+#[case::negative_body("PUT /a HTTP/1.1\r\nContent-Length: -1\r\n\r\n", ParseResult::Invalid(400))]
+#[case::two_lengths(
+    "PUT /a HTTP/1.1\r\nContent-Length: 0\r\nContent-Length: 9\r\n\r\n",
+    ParseResult::Invalid(400)
+)]
+#[case::chunked("PUT /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", ParseResult::Invalid(411))]
+#[case::expects("PUT /a HTTP/1.1\r\nExpect: 100-continue\r\n\r\n", ParseResult::Invalid(417))]
+fn calls_are_read(#[case] text: &str, #[case] wanted: ParseResult) {
+    assert_eq!(parse_request(text.as_bytes()), wanted);
 }
 
 #[rstest]
@@ -36,11 +42,11 @@
 #[case::endless_headers("GET / HTTP/1.1\r\n", "X: y\r\n", 1)]
 fn a_head_without_an_end_is_refused(#[case] start: &str, #[case] more: &str, #[case] least: usize) {
     let mut text = start.to_string();
-    while read(text.as_bytes()) == Read::More {
+    while parse_request(text.as_bytes()) == ParseResult::Incomplete {
         text.push_str(more);
-        assert!(text.len() <= HEAD_BYTES + more.len(), "it is read for ever");
+        assert!(text.len() <= MAX_HEAD_BYTES + more.len(), "it is read for ever");
     }
-    assert_eq!(read(text.as_bytes()), Read::Bad(431));
+    assert_eq!(parse_request(text.as_bytes()), ParseResult::Invalid(431));
     assert!(text.len() > least);
 }
 
@@ -49,9 +55,9 @@
     #[test]
     fn pieces_make_no_difference(text in "(GET|PUT) /[a-z]{0,9} HTTP/1.[01]\r\n([A-Za-z-]{1,9}: [ -~]{0,9}\r\n){0,3}\r\n",
                                  noise in proptest::collection::vec(any::<u8>(), 0..40)) {
-        let whole = read(text.as_bytes());
-        let first = (1..=text.len()).map(|n| read(&text.as_bytes()[..n])).find(|r| *r != Read::More);
-        prop_assert_eq!(first.unwrap_or(Read::More), whole);
-        let _ = read(&noise);
+        let whole = parse_request(text.as_bytes());
+        let first = (1..=text.len()).map(|n| parse_request(&text.as_bytes()[..n])).find(|r| *r != ParseResult::Incomplete);
+        prop_assert_eq!(first.unwrap_or(ParseResult::Incomplete), whole);
+        let _ = parse_request(&noise);
     }
 }
--- a/src/operate/metrics.rs
+++ b/src/operate/metrics.rs
@@ -19,7 +19,7 @@
     /// Those of them that get no new calls now.
     pub servers_excluded: usize,
     /// For how many seconds the resolver has answered with no list.
-    pub list_silent_s: usize,
+    pub list_age_s: usize,
 }
 
 impl Metrics {
@@ -34,7 +34,7 @@
         self.in_flight += other.in_flight;
         self.servers_known += other.servers_known;
         self.servers_excluded += other.servers_excluded;
-        self.list_silent_s = self.list_silent_s.max(other.list_silent_s);
+        self.list_age_s = self.list_age_s.max(other.list_age_s);
     }
 
     /// The text that a scraper reads.
@@ -67,7 +67,7 @@
             ("in_flight", "Calls taken and not yet ended.", self.in_flight),
             ("setup_servers_known", "Setup servers in the list.", self.servers_known),
             ("setup_servers_excluded", "Listed setup servers that get nothing now.", self.servers_excluded),
-            ("list_silent_seconds", "For how long the resolver has told no list.", self.list_silent_s),
+            ("list_silent_seconds", "For how long the resolver has told no list.", self.list_age_s),
         ];
         for (name, help, value) in gauges {
             let _ = writeln!(text, "# HELP {PREFIX}_{name} {help}\n# TYPE {PREFIX}_{name} gauge");
--- a/src/operate/metrics/tests.rs
+++ b/src/operate/metrics/tests.rs
@@ -27,7 +27,7 @@
         in_flight: 1,
         servers_known: 2,
         servers_excluded: 1,
-        list_silent_s: name.len(),
+        list_age_s: name.len(),
     };
     let mut sum = of("a", 2);
     sum.add(of("a", 3));
--- a/src/operate/mod.rs
+++ b/src/operate/mod.rs
@@ -17,7 +17,7 @@
 
 use crate::Micros;
 
-use http::Answer;
+use http::Response;
 use metrics::Metrics;
 
 /// A frontend, as the operators see it.
@@ -96,7 +96,7 @@
     }
 
     /// Calls without a final answer, and established ones.
-    pub fn calls(&self) -> usize {
+    pub fn open_call_count(&self) -> usize {
         self.live_frontends().iter().map(|frontend| frontend.metrics().in_flight).sum()
     }
 
@@ -135,7 +135,7 @@
     }
 
     /// Carries a call out and answers it.
-    pub fn answer(&self, method: &str, path: &str) -> Answer {
+    pub fn handle_request(&self, method: &str, path: &str) -> Response {
         #[cfg(feature = "faults")]
         if let Some(fault) = path.strip_prefix("/faults/") {
             return set_fail_point(fault);
@@ -143,57 +143,58 @@
         let allow = match path {
             "/control/ready" | "/control/counters" | "/control/fleet" | "/control/fleet/log" => "GET, HEAD",
             "/control/out-of-service" | "/control/in-service" => "PUT",
-            _ => return Answer::new(404, "no such call\n"),
+            _ => return Response::new(404, "no such call\n"),
         };
         if !allow.split(", ").any(|allowed| allowed == method) {
-            return Answer { allow: Some(allow), ..Answer::plain(405) };
+            return Response { allow: Some(allow), ..Response::from_status(405) };
         }
         match path {
-            "/control/ready" if self.is_ready() => Answer::new(200, "ready\n"),
-            "/control/ready" => Answer::new(503, "takes no clients\n"),
-            "/control/counters" => Answer::new(200, self.render_metrics()),
-            "/control/fleet" => self.answer_fleet_status(),
-            "/control/fleet/log" => self.answer_fleet_log(),
+            "/control/ready" if self.is_ready() => Response::new(200, "ready\n"),
+            "/control/ready" => Response::new(503, "takes no clients\n"),
+            "/control/counters" => Response::new(200, self.render_metrics()),
+            "/control/fleet" => self.fleet_status_response(),
+            "/control/fleet/log" => self.fleet_log_response(),
             "/control/out-of-service" => self.set_out_of_service(true),
-            _ if self.is_shutting_down.get() => Answer::new(409, "the program ends\n"),
+            _ if self.is_shutting_down.get() => Response::new(409, "the program ends\n"),
             _ => self.set_out_of_service(false),
         }
     }
 
-    fn answer_fleet_status(&self) -> Answer {
+    fn fleet_status_response(&self) -> Response {
         match self.fleet.borrow().as_ref() {
-            Some(fleet) => Answer::json(fleet.status()),
-            None => {
-                Answer::new(404, "this gatekeeper is in no fleet: its operators' file has no fleet section\n")
-            }
+            Some(fleet) => Response::json(fleet.status()),
+            None => Response::new(
+                404,
+                "this gatekeeper is in no fleet: its operators' file has no fleet section\n",
+            ),
         }
     }
 
-    fn answer_fleet_log(&self) -> Answer {
+    fn fleet_log_response(&self) -> Response {
         match self.fleet.borrow().as_ref().and_then(|fleet| fleet.log()) {
-            Some(lines) => Answer::json(lines),
-            None => Answer::new(404, "there is no fleet here, or it has no voters and so no log\n"),
+            Some(lines) => Response::json(lines),
+            None => Response::new(404, "there is no fleet here, or it has no voters and so no log\n"),
         }
     }
 
     /// Both orders may come again and change nothing then.
-    fn set_out_of_service(&self, is_out: bool) -> Answer {
+    fn set_out_of_service(&self, is_out: bool) -> Response {
         let has_changed =
             self.out_of_service.send_if_modified(|held| std::mem::replace(held, is_out) != is_out);
         if has_changed {
             tracing::info!(out = is_out, "the operators changed what the gatekeeper does for clients");
         }
-        Answer::new(200, if is_out { "out of service\n" } else { "in service\n" })
+        Response::new(200, if is_out { "out of service\n" } else { "in service\n" })
     }
 }
 
 /// Sets a fail point, as in `PUT /faults/wall=return(3600)`. For tests: release builds lack it.
 #[cfg(feature = "faults")]
-fn set_fail_point(fault: &str) -> Answer {
-    let Some((name, action)) = fault.split_once('=') else { return Answer::new(400, "NAME=ACTION\n") };
+fn set_fail_point(fault: &str) -> Response {
+    let Some((name, action)) = fault.split_once('=') else { return Response::new(400, "NAME=ACTION\n") };
     match fail::cfg(name, action) {
-        Ok(()) => Answer::new(200, "set\n"),
-        Err(e) => Answer::new(400, format!("{e}\n")),
+        Ok(()) => Response::new(200, "set\n"),
+        Err(e) => Response::new(400, format!("{e}\n")),
     }
 }
 
--- a/src/operate/serving_state.rs
+++ b/src/operate/serving_state.rs
@@ -37,7 +37,7 @@
 }
 
 impl OpenWork {
-    fn has_no_calls(self) -> bool {
+    fn is_without_calls(self) -> bool {
         self.pending_calls + self.established_calls == 0
     }
 }
@@ -88,42 +88,42 @@
 
     /// Whether the shutdown may end: what comes in is still answered, established calls may come to their end, then it is
     /// over.
-    pub fn may_end(&self, now: Micros, open: OpenWork) -> bool {
+    pub fn may_exit(&self, now: Micros, open: OpenWork) -> bool {
         let Some(since) = self.shutting_down_since else { return false };
         let elapsed = now.saturating_sub(since);
         if self.has_successor {
-            handover_may_end(elapsed, open)
+            handover_may_exit(elapsed, open)
         } else {
-            self.shutdown_may_end(elapsed, open)
+            self.shutdown_may_exit(elapsed, open)
         }
     }
 
-    fn shutdown_may_end(&self, elapsed: Micros, open: OpenWork) -> bool {
+    fn shutdown_may_exit(&self, elapsed: Micros, open: OpenWork) -> bool {
         let max = self.max_wait.unwrap_or(MAX_SHUTDOWN_TIME).min(MAX_SHUTDOWN_TIME);
         let min = MIN_SHUTDOWN_TIME.min(max + PENDING_CALLS_EXTRA_TIME);
         let is_past_min = elapsed >= min;
         let is_past_max = elapsed >= max;
-        is_past_min && open.has_no_calls()
+        is_past_min && open.is_without_calls()
             || is_past_max && is_past_min && open.pending_calls == 0
             || elapsed >= max + PENDING_CALLS_EXTRA_TIME
     }
 
     /// Whether the frontend is in service.
-    pub fn takes_clients(&self) -> bool {
+    pub fn is_in_service(&self) -> bool {
         self.out_of_service_since.is_none() && self.shutting_down_since.is_none()
     }
 
     /// Whether client connections are to be closed where nothing is open on them.
     pub fn closes_idle_clients(&self, now: Micros) -> bool {
-        let has_settled = |since| now >= since + DRAIN_SETTLE_TIME;
-        self.is_handing_over() || self.out_of_service_since.is_some_and(has_settled)
+        let is_past_settle_time = |since| now >= since + DRAIN_SETTLE_TIME;
+        self.is_handing_over() || self.out_of_service_since.is_some_and(is_past_settle_time)
     }
 
     /// The retry-after with which new calls are rejected; `None`: they are taken. Where clients keep connections to this
     /// gatekeeper, these may be closed first.
-    pub fn rejects_new_calls(&self, now: Micros, clients: ClientConnections) -> Option<Micros> {
+    pub fn rejection_retry_after(&self, now: Micros, clients: ClientConnections) -> Option<Micros> {
         let delay = match clients {
-            ClientConnections::Kept => REJECT_AFTER,
+            ClientConnections::Dedicated => REJECT_AFTER,
             ClientConnections::Shared => 0,
         };
         let handing_over_since = self.shutting_down_since.filter(|_| self.is_handing_over());
@@ -132,9 +132,9 @@
     }
 }
 
-fn handover_may_end(elapsed: Micros, open: OpenWork) -> bool {
+fn handover_may_exit(elapsed: Micros, open: OpenWork) -> bool {
     let clients_have_left = open.client_connections == 0 || elapsed >= HANDOVER_CLIENTS_TIME;
-    let has_finished = elapsed >= MIN_HANDOVER_TIME && open.has_no_calls() && clients_have_left;
+    let has_finished = elapsed >= MIN_HANDOVER_TIME && open.is_without_calls() && clients_have_left;
     has_finished || elapsed >= MAX_HANDOVER_TIME
 }
 
@@ -142,7 +142,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientConnections {
     /// They do: the platform's callers.
-    Kept,
+    Dedicated,
     /// They do not: SIP over UDP, and TCP connections that carry many callers.
     Shared,
 }
--- a/src/operate/serving_state/tests.rs
+++ b/src/operate/serving_state/tests.rs
@@ -9,24 +9,27 @@
 #[test]
 fn drain_holds_until_taken_back_and_counts_from_the_first_order() {
     let mut state = ServingState::default();
-    assert!(state.takes_clients());
+    assert!(state.is_in_service());
     state.set_out_of_service(5, true);
     state.set_out_of_service(9, true);
-    assert!(!state.takes_clients());
+    assert!(!state.is_in_service());
     assert_eq!(
         (state.closes_idle_clients(4 + DRAIN_SETTLE_TIME), state.closes_idle_clients(5 + DRAIN_SETTLE_TIME)),
         (false, true)
     );
-    assert_eq!(state.rejects_new_calls(4 + REJECT_AFTER, ClientConnections::Kept), None);
-    assert_eq!(state.rejects_new_calls(5 + REJECT_AFTER, ClientConnections::Kept), Some(DRAIN_RETRY_AFTER));
-    assert_eq!(state.rejects_new_calls(5, ClientConnections::Shared), Some(DRAIN_RETRY_AFTER));
+    assert_eq!(state.rejection_retry_after(4 + REJECT_AFTER, ClientConnections::Dedicated), None);
+    assert_eq!(
+        state.rejection_retry_after(5 + REJECT_AFTER, ClientConnections::Dedicated),
+        Some(DRAIN_RETRY_AFTER)
+    );
+    assert_eq!(state.rejection_retry_after(5, ClientConnections::Shared), Some(DRAIN_RETRY_AFTER));
     state.set_out_of_service(11, false);
-    assert!(state.takes_clients());
+    assert!(state.is_in_service());
     state.set_out_of_service(12, false);
-    assert!(state.takes_clients());
+    assert!(state.is_in_service());
     assert!(
         !state.closes_idle_clients(Micros::MAX)
-            && state.rejects_new_calls(Micros::MAX, ClientConnections::Shared).is_none()
+            && state.rejection_retry_after(Micros::MAX, ClientConnections::Shared).is_none()
     );
 }
 
@@ -36,31 +39,34 @@
     let mut state = ServingState::default();
     state.shut_down(0);
     assert!(
-        !state.may_end(MIN_SHUTDOWN_TIME - 1, open(0, 0, 5))
-            && state.may_end(MIN_SHUTDOWN_TIME, open(0, 0, 5))
+        !state.may_exit(MIN_SHUTDOWN_TIME - 1, open(0, 0, 5))
+            && state.may_exit(MIN_SHUTDOWN_TIME, open(0, 0, 5))
     );
     assert!(
-        !state.may_end(MAX_SHUTDOWN_TIME - 1, open(0, 1, 0))
-            && state.may_end(MAX_SHUTDOWN_TIME, open(0, 1, 0))
+        !state.may_exit(MAX_SHUTDOWN_TIME - 1, open(0, 1, 0))
+            && state.may_exit(MAX_SHUTDOWN_TIME, open(0, 1, 0))
     );
     assert!(!state.is_handing_over() && !state.closes_idle_clients(MAX_SHUTDOWN_TIME));
     state.set_successor(true);
     assert!(state.is_handing_over() && state.closes_idle_clients(0));
-    assert_eq!(state.rejects_new_calls(REJECT_AFTER - 1, ClientConnections::Kept), None);
-    assert_eq!(state.rejects_new_calls(REJECT_AFTER, ClientConnections::Kept), Some(DRAIN_RETRY_AFTER));
+    assert_eq!(state.rejection_retry_after(REJECT_AFTER - 1, ClientConnections::Dedicated), None);
+    assert_eq!(
+        state.rejection_retry_after(REJECT_AFTER, ClientConnections::Dedicated),
+        Some(DRAIN_RETRY_AFTER)
+    );
     assert!(
-        !state.may_end(MIN_SHUTDOWN_TIME, open(0, 0, 0)) && state.may_end(MIN_HANDOVER_TIME, open(0, 0, 0))
+        !state.may_exit(MIN_SHUTDOWN_TIME, open(0, 0, 0)) && state.may_exit(MIN_HANDOVER_TIME, open(0, 0, 0))
     );
     assert!(
-        !state.may_end(MIN_HANDOVER_TIME, open(0, 0, 1))
-            && state.may_end(HANDOVER_CLIENTS_TIME, open(0, 0, 1))
+        !state.may_exit(MIN_HANDOVER_TIME, open(0, 0, 1))
+            && state.may_exit(HANDOVER_CLIENTS_TIME, open(0, 0, 1))
     );
     assert!(
-        !state.may_end(MAX_SHUTDOWN_TIME, open(1, 0, 0)) && state.may_end(MAX_HANDOVER_TIME, open(1, 1, 0))
+        !state.may_exit(MAX_SHUTDOWN_TIME, open(1, 0, 0)) && state.may_exit(MAX_HANDOVER_TIME, open(1, 1, 0))
     );
     state.set_successor(false);
     assert!(
-        !state.is_handing_over() && state.may_end(MAX_SHUTDOWN_TIME, open(0, 1, 0)),
+        !state.is_handing_over() && state.may_exit(MAX_SHUTDOWN_TIME, open(0, 1, 0)),
         "it is gone, and the end is as without it"
     );
 }
@@ -72,7 +78,7 @@
     state.shut_down(2);
     state.shut_down(3);
     state.set_out_of_service(4, false);
-    assert_eq!((state.shutting_down_since, state.takes_clients()), (Some(2), false));
+    assert_eq!((state.shutting_down_since, state.is_in_service()), (Some(2), false));
 }
 
 /// SIGKILL may come 0.7 s after the longest that anyone waits, 3 s being the most that counts.
@@ -83,13 +89,13 @@
         let mut state = ServingState::new(patience);
         state.shut_down(0);
         let killed = patience.min(MAX_SHUTDOWN_TIME) + 700_000;
-        assert!(state.may_end(killed - LAST_WORDS, open(1, 1, 1)), "{patience}");
+        assert!(state.may_exit(killed - LAST_WORDS, open(1, 1, 1)), "{patience}");
         assert!(
-            !state.may_end(patience.min(MAX_SHUTDOWN_TIME) - 1, open(0, 1, 0)),
+            !state.may_exit(patience.min(MAX_SHUTDOWN_TIME) - 1, open(0, 1, 0)),
             "{patience}: what stands may go on"
         );
         assert!(
-            !state.may_end(patience.min(MAX_SHUTDOWN_TIME), open(1, 0, 0)),
+            !state.may_exit(patience.min(MAX_SHUTDOWN_TIME), open(1, 0, 0)),
             "{patience}: what is open a little longer"
         );
     }
--- a/src/operate/tests.rs
+++ b/src/operate/tests.rs
@@ -36,14 +36,14 @@
     #[case] status: u16,
     #[case] allow: Option<&str>,
 ) {
-    let answer = AdminService::new(0).answer(method, path);
+    let answer = AdminService::new(0).handle_request(method, path);
     assert_eq!((answer.status, answer.allow), (status, allow));
 }
 
 #[test]
 fn is_ready_when_all_frontends_are() {
     let service = AdminService::new(2);
-    let ask = || service.answer("GET", "/control/ready").status;
+    let ask = || service.handle_request("GET", "/control/ready").status;
     let (one, two) = (Rc::new(StubFrontend(Cell::new(true))), Rc::new(StubFrontend(Cell::new(true))));
     let as_status = |frontend: &Rc<StubFrontend>| -> Weak<dyn FrontendStatus> {
         Rc::downgrade(&(frontend.clone() as Rc<dyn FrontendStatus>))
@@ -54,7 +54,7 @@
     assert_eq!(ask(), 200);
     two.0.set(false);
     assert_eq!(ask(), 503);
-    assert!(service.answer("GET", "/control/counters").body.contains("edge_lb_in_flight 4\n"));
+    assert!(service.handle_request("GET", "/control/counters").body.contains("edge_lb_in_flight 4\n"));
 }
 
 #[test]
@@ -62,13 +62,13 @@
     let service = AdminService::new(0);
     let orders = service.watch_out_of_service();
     for path in ["out-of-service", "out-of-service"] {
-        assert_eq!(service.answer("PUT", &format!("/control/{path}")).status, 200);
+        assert_eq!(service.handle_request("PUT", &format!("/control/{path}")).status, 200);
         assert!(*orders.borrow());
     }
-    assert_eq!(service.answer("PUT", "/control/in-service").status, 200);
+    assert_eq!(service.handle_request("PUT", "/control/in-service").status, 200);
     assert!(!*orders.borrow());
-    service.answer("PUT", "/control/out-of-service");
+    service.handle_request("PUT", "/control/out-of-service");
     service.shut_down();
-    assert_eq!(service.answer("PUT", "/control/in-service").status, 409);
+    assert_eq!(service.handle_request("PUT", "/control/in-service").status, 409);
     assert!(*orders.borrow());
 }
--- a/src/platform/handover.rs
+++ b/src/platform/handover.rs
@@ -18,8 +18,8 @@
 use crate::link::{self, Outbox};
 use crate::list::ListedServer;
 use crate::operate::handover::{
-    EstablishedCall, HandoverMessage, Inheritance, InheritanceProgress, KnownLoad, KnownServer,
-    MAX_LINE_BYTES, Role, VERSION,
+    EstablishedCall, HandoverMessage, HandoverProgress, MAX_LINE_BYTES, ReceivedHandover, Role,
+    ServerSnapshot, SnapshotLoad, VERSION,
 };
 use crate::{CallId, Cause, EndpointListScope, LoadReport, Outcome, ServerStatus};
 
@@ -41,7 +41,7 @@
     pub(super) role: Role,
     outbox: Option<Rc<Outbox>>,
     /// What the old process has told so far; `None` once it was taken or left.
-    inheritance: Option<Inheritance>,
+    inheritance: Option<ReceivedHandover>,
     /// Wakes who waits for all of it.
     inheritance_done: Rc<Notify>,
 }
@@ -82,7 +82,7 @@
         return Some(place);
     }
     let told = frontend.borrow().peer_process.inheritance_done.clone();
-    frontend.borrow_mut().peer_process.inheritance = Some(Inheritance::default());
+    frontend.borrow_mut().peer_process.inheritance = Some(ReceivedHandover::default());
     tokio::task::spawn_local(run_connection(frontend.clone(), stream, Role::Newer));
     if timeout(INHERITANCE_TIMEOUT, told.notified()).await.is_err() {
         frontend.borrow_mut().abandon_handover(&"the older process does not say what it knows");
@@ -111,11 +111,11 @@
             Ok((stream, _))
                 if is_own_user(&stream, &shared) && frontend.borrow().peer_process.outbox.is_none() =>
             {
-                frontend.borrow_mut().peer_process.role = Role::Older { is_succeeded: false };
+                frontend.borrow_mut().peer_process.role = Role::Older { successor_is_serving: false };
                 tokio::task::spawn_local(run_connection(
                     frontend.clone(),
                     stream,
-                    Role::Older { is_succeeded: false },
+                    Role::Older { successor_is_serving: false },
                 ));
                 tokio::task::yield_now().await;
             }
@@ -174,7 +174,7 @@
         for server in self.directory.servers().collect::<Vec<_>>() {
             let known = self.driver.gateway.server_snapshot(server);
             let report = known.last_reported_wait;
-            let message = HandoverMessage::Server(KnownServer {
+            let message = HandoverMessage::Server(ServerSnapshot {
                 server: self.directory.name(server).to_string(),
                 draining_for: known.draining_since.map(|since| now.saturating_sub(since)),
                 is_ejected: known.is_ejected,
@@ -193,7 +193,7 @@
         match message {
             HandoverMessage::Serving if matches!(self.peer_process.role, Role::Older { .. }) => {
                 tracing::info!("a newer process serves beside this one");
-                self.set_role(Role::Older { is_succeeded: true });
+                self.set_role(Role::Older { successor_is_serving: true });
                 self.maintain(clock::now());
             }
             HandoverMessage::Established(call) => self.adopt(call),
@@ -221,14 +221,14 @@
     }
 
     /// Takes the next message of an inheritance; false to end the connection.
-    fn continue_inheritance(&mut self, mut inheritance: Inheritance, message: HandoverMessage) -> bool {
+    fn continue_inheritance(&mut self, mut inheritance: ReceivedHandover, message: HandoverMessage) -> bool {
         match inheritance.handle_message(message) {
-            InheritanceProgress::Incomplete => self.peer_process.inheritance = Some(inheritance),
-            InheritanceProgress::Complete => {
+            HandoverProgress::Incomplete => self.peer_process.inheritance = Some(inheritance),
+            HandoverProgress::Complete => {
                 self.inherit(inheritance);
                 self.peer_process.inheritance_done.notify_one();
             }
-            InheritanceProgress::Refused(error) => {
+            HandoverProgress::Refused(error) => {
                 self.abandon_handover(&error);
                 return false;
             }
@@ -251,7 +251,7 @@
 
     /// Takes over what the older process knows of servers: drains that this one's list does not have yet, servers that do
     /// not answer, and waits told a moment ago.
-    fn inherit(&mut self, told: Inheritance) {
+    fn inherit(&mut self, told: ReceivedHandover) {
         let now = clock::now();
         // A list older than ours says nothing of drains: a server may have come back since.
         let as_new = told.seq.is_some_and(|seq| seq >= self.seq);
@@ -264,10 +264,10 @@
                 self.handle_list(now.saturating_sub(since), EndpointListScope::Changes, vec![draining]);
             }
             match known.load() {
-                Some(KnownLoad::NoAnswer) => {
+                Some(SnapshotLoad::NoAnswer) => {
                     self.feed(Input::Load { server, answered: false, load: LoadReport::default() });
                 }
-                Some(KnownLoad::Reported(load)) => self.feed(Input::Load { server, answered: true, load }),
+                Some(SnapshotLoad::Reported(load)) => self.feed(Input::Load { server, answered: true, load }),
                 None => {}
             }
         }
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -210,9 +210,9 @@
     }
 
     fn maintain(&mut self, now: Micros) {
-        self.driver
-            .gateway
-            .reject_new_calls(self.driver.serving_state.rejects_new_calls(now, ClientConnections::Kept));
+        self.driver.gateway.reject_new_calls(
+            self.driver.serving_state.rejection_retry_after(now, ClientConnections::Dedicated),
+        );
         self.clients.maintain(now);
         self.maintain_servers(now);
         if self.driver.serving_state.is_handing_over() {
--- a/src/sip/mod.rs
+++ b/src/sip/mod.rs
@@ -357,9 +357,9 @@
     }
 
     fn maintain(&mut self, now: Micros) {
-        self.driver
-            .gateway
-            .reject_new_calls(self.driver.serving_state.rejects_new_calls(now, ClientConnections::Shared));
+        self.driver.gateway.reject_new_calls(
+            self.driver.serving_state.rejection_retry_after(now, ClientConnections::Shared),
+        );
         self.care_for_transactions(now);
         self.care_for_callers(now);
         self.care_for_legs(now);
