--- a/src/bin/cobaltspool-simulator-adapter/error.rs
+++ b/src/bin/cobaltspool-simulator-adapter/error.rs
@@ -1,15 +1,15 @@
-//! Errors that end the adapter.
+//! The adapter's errors; each of them makes it exit.
 
 use std::io;
 
 use thiserror::Error;
 
-/// Why the adapter stops.
+/// An error that makes the adapter exit.
 #[derive(Debug, Error)]
 pub enum AdapterError {
-    #[error("reading: {0}")]
+    #[error("cannot read standard input: {0}")]
     Read(#[source] io::Error),
-    #[error("writing: {0}")]
+    #[error("cannot write to standard output: {0}")]
     Write(#[source] io::Error),
     #[error("not a batch: {0}")]
     BadBatch(#[from] serde_json::Error),
@@ -21,6 +21,6 @@
     UnknownList(u64),
     #[error("inbox: bad base64: {0}")]
     BadPeerMessage(#[source] base64::DecodeError),
-    #[error("reminder: key {0:?} is not a timer's")]
+    #[error("reminder: {0:?} is not a timer key")]
     BadTimerKey(String),
 }
--- a/src/bin/cobaltspool-simulator-adapter/from_wire.rs
+++ b/src/bin/cobaltspool-simulator-adapter/from_wire.rs
@@ -1,4 +1,4 @@
-//! Translates the simulator's values into the core's.
+//! Converts the simulator's messages into the core's types.
 
 use cobaltspool::{
     CallId, Cause, Class, EndpointListScope, LoadReport, NewCall, Number, Outcome, PoolId, Rules,
@@ -7,7 +7,7 @@
 
 use crate::wire::{self, Availability, Element, Ending, Profile, Scope, Telemetry};
 
-/// Settings of one gatekeeper.
+/// The settings of one gatekeeper.
 pub fn settings(profile: &Profile) -> Settings {
     let pools = &profile.domain.allowed_pools;
     let class = |(n, s): (usize, &wire::Service)| Class {
@@ -45,16 +45,16 @@
 }
 
 /// A server's load report.
-pub fn load(t: &Telemetry) -> LoadReport {
+pub fn load(telemetry: &Telemetry) -> LoadReport {
     LoadReport {
-        utilization: t.cpu,
-        queued_setups: t.waiting,
-        messages_in_progress: t.active,
-        queueing_delay_ms: t.avg_ms,
-        allowed_rate: t.allowed,
-        requested_reduction: t.cut_by,
-        free_lines: t.spare,
-        total_lines: t.total,
+        utilization: telemetry.cpu,
+        queued_setups: telemetry.waiting,
+        messages_in_progress: telemetry.active,
+        queueing_delay_ms: telemetry.avg_ms,
+        allowed_rate: telemetry.allowed,
+        requested_reduction: telemetry.cut_by,
+        free_lines: telemetry.spare,
+        total_lines: telemetry.total,
     }
 }
 
@@ -72,7 +72,8 @@
     }
 }
 
-/// Why an attempt was rejected. The low four bits of the note are the cause, the rest is a delay in milliseconds.
+/// Why an attempt was rejected. The low four bits of the note are the cause, the other bits are a delay in
+/// milliseconds.
 pub fn cause(note: i64) -> Cause {
     match note & 15 {
         1 => Cause::NoFreeLine,
@@ -84,7 +85,7 @@
     }
 }
 
-/// Which servers a list describes.
+/// Which servers an endpoint list covers.
 pub fn list_scope(scope: Scope) -> EndpointListScope {
     match scope {
         Scope::Update => EndpointListScope::Changes,
@@ -93,7 +94,7 @@
     }
 }
 
-/// One line of a server list.
+/// An entry of an endpoint list.
 pub fn server_entry(server: ServerId, element: &Element) -> ServerEntry {
     ServerEntry {
         server,
--- a/src/bin/cobaltspool-simulator-adapter/gatekeeper.rs
+++ b/src/bin/cobaltspool-simulator-adapter/gatekeeper.rs
@@ -1,4 +1,4 @@
-//! One simulated gatekeeper: its controller and its numbering of servers.
+//! A simulated gatekeeper: its controller, and the mapping between the simulator's server names and the core's ids.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -17,32 +17,32 @@
 /// The server lists that the simulator has sent, by reference.
 pub type ServerLists = BTreeMap<u64, Vec<Element>>;
 
-/// A gatekeeper's controller, and the ids of the servers that its lists have named.
+/// A gatekeeper's controller, and the ids of the servers that messages have named so far.
 pub struct SimulatedGatekeeper {
     controller: Controller,
-    ids: BTreeMap<Rc<str>, ServerId>,
-    names: Vec<Rc<str>>,
-    /// Reused between events.
+    server_ids: BTreeMap<Rc<str>, ServerId>,
+    server_names: Vec<Rc<str>>,
+    /// Buffer for the controller's actions; reused between events.
     actions: Vec<Action>,
 }
 
 impl SimulatedGatekeeper {
-    /// A gatekeeper that has seen no event.
+    /// Creates a gatekeeper from its profile.
     pub fn new(profile: &Profile, random_seed: u64) -> Self {
         Self {
             controller: Controller::new(from_wire::settings(profile), random_seed),
-            ids: BTreeMap::new(),
-            names: Vec::new(),
+            server_ids: BTreeMap::new(),
+            server_names: Vec::new(),
             actions: Vec::new(),
         }
     }
 
-    /// The simulator's name of a server.
+    /// The simulator's name for a server.
     pub fn server_name(&self, server: ServerId) -> Rc<str> {
-        self.names[server.0 as usize].clone()
+        self.server_names[server.0 as usize].clone()
     }
 
-    /// Passes a message to the controller and appends its actions to `output`.
+    /// Passes a message to the controller and appends the resulting actions to `output`.
     pub fn handle(
         &mut self,
         now: Micros,
@@ -59,7 +59,7 @@
         Ok(())
     }
 
-    /// Translates a message; `None` if it is not an event of a controller.
+    /// Converts a message to a controller event; `None` if the controller does not handle this kind of message.
     fn event(&mut self, message: InputMessage, lists: &ServerLists) -> Result<Option<Event>, AdapterError> {
         let event = match message {
             InputMessage::Begin(_) | InputMessage::Directory(_) | InputMessage::Killed(_) => return Ok(None),
@@ -117,15 +117,15 @@
         }
     }
 
-    /// The id of a server; a new one if it was never named.
+    /// The id of a server; assigns a new id if the name is not known yet.
     fn server_id(&mut self, name: &str) -> ServerId {
-        if let Some(id) = self.ids.get(name) {
+        if let Some(id) = self.server_ids.get(name) {
             return *id;
         }
-        let id = ServerId(self.names.len() as u32);
+        let id = ServerId(self.server_names.len() as u32);
         let name: Rc<str> = name.into();
-        self.names.push(name.clone());
-        self.ids.insert(name, id);
+        self.server_names.push(name.clone());
+        self.server_ids.insert(name, id);
         id
     }
 }
--- a/src/bin/cobaltspool-simulator-adapter/main.rs
+++ b/src/bin/cobaltspool-simulator-adapter/main.rs
@@ -1,4 +1,5 @@
-//! Runs gatekeepers inside the simulator: translates its JSON lines to the core's events and back, and decides nothing.
+//! Runs gatekeepers inside the simulator: converts its JSON lines into events of the core, and the core's actions back
+//! into JSON. It makes no decisions itself.
 #![forbid(unsafe_code)]
 
 mod error;
@@ -25,8 +26,8 @@
 }
 
 impl Adapter {
-    /// Answers one line of input.
-    fn answer(&mut self, line: &str) -> Result<BatchReply, AdapterError> {
+    /// Processes one line of input and returns the reply.
+    fn process_line(&mut self, line: &str) -> Result<BatchReply, AdapterError> {
         let Batch { clock, frame, msgs } = serde_json::from_str(line)?;
         let mut actions = Vec::new();
         for (index, message) in msgs.into_iter().enumerate() {
@@ -66,14 +67,14 @@
     }
 }
 
-/// Answers lines until the input ends.
+/// Processes lines until the end of the input.
 fn run() -> Result<(), AdapterError> {
     let mut adapter = Adapter::default();
     let mut line = String::new();
     let mut input = io::stdin().lock();
     let mut output = io::BufWriter::new(io::stdout().lock());
     while input.read_line(&mut line).map_err(AdapterError::Read)? > 0 {
-        let reply = adapter.answer(&line)?;
+        let reply = adapter.process_line(&line)?;
         write_reply(&mut output, &reply).map_err(AdapterError::Write)?;
         line.clear();
     }
--- a/src/bin/cobaltspool-simulator-adapter/to_wire.rs
+++ b/src/bin/cobaltspool-simulator-adapter/to_wire.rs
@@ -1,4 +1,4 @@
-//! Translates the core's actions into the simulator's.
+//! Converts the core's actions into the simulator's messages.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD as BASE64;
@@ -7,7 +7,7 @@
 use crate::gatekeeper::SimulatedGatekeeper;
 use crate::wire::OutputMessage;
 
-/// One action of a gatekeeper.
+/// Converts an action of the gatekeeper `front`.
 pub fn output_message(front: u64, gatekeeper: &SimulatedGatekeeper, action: Action) -> OutputMessage {
     let name = |s: ServerId| gatekeeper.server_name(s);
     match action {
--- a/src/bin/cobaltspool-simulator-adapter/wire.rs
+++ b/src/bin/cobaltspool-simulator-adapter/wire.rs
@@ -1,4 +1,5 @@
-//! The simulator's messages, as they stand on the pipe.
+//! The messages that the adapter exchanges with the simulator, one JSON object per line. The names of their fields and
+//! variants are the wire format.
 
 use std::rc::Rc;
 
@@ -12,7 +13,7 @@
     pub msgs: Vec<InputMessage>,
 }
 
-/// One message from the simulator.
+/// A message from the simulator.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum InputMessage {
@@ -30,7 +31,7 @@
 }
 
 impl InputMessage {
-    /// The gatekeeper that the message is for; `None` for a server list, which is shared.
+    /// The gatekeeper that the message is addressed to; `None` for a server list, which all gatekeepers share.
     pub fn front(&self) -> Option<u64> {
         match self {
             Self::Directory(_) => None,
@@ -57,7 +58,7 @@
     pub profile_data: Box<Profile>,
 }
 
-/// A server list, referred to by later messages.
+/// A server list; later messages refer to it by `ref`.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Directory {
@@ -65,7 +66,7 @@
     pub elements: Vec<Element>,
 }
 
-/// A gatekeeper learns a server list.
+/// Gives a server list to a gatekeeper.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct PeersKnown {
@@ -105,7 +106,7 @@
     pub msg: String,
 }
 
-/// The caller has left.
+/// The caller has abandoned the call.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Aborted {
@@ -144,7 +145,7 @@
     pub telemetry: Telemetry,
 }
 
-/// A gatekeeper has stopped.
+/// A gatekeeper has been killed.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Killed {
--- a/src/operate/admin.rs
+++ b/src/operate/admin.rs
@@ -1,5 +1,5 @@
-//! The operators' HTTP endpoint: a listener of its own, one call a connection. It moves bytes; what a call does is
-//! [`AdminService`]'s.
+//! The HTTP endpoint for operators. It has its own listener and serves one request per connection. This module does the
+//! I/O; [`AdminService`] handles the requests.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -17,15 +17,17 @@
 use super::AdminService;
 use super::http::{self, ParseResult, Response};
 
-/// Maximum number of connections; with the servers' they share the half of the descriptors that clients do not get.
+/// Maximum number of connections. They share the half of the file descriptors that is not reserved for clients with the
+/// connections to servers.
 const MAX_CONNECTIONS: usize = 16;
-/// A call comes whole within this: operators and scrapers send at once, and whoever sends half holds a connection.
+/// Time limit for receiving a complete request. Operators and scrapers send it at once; an incomplete request occupies
+/// a connection.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// The answer is written, and what the caller still sends is read, within this: a close over unread bytes would reset the
-/// connection and take the answer with it.
+/// Time limit for writing the response and then draining what the client still sends. Closing a socket with unread
+/// bytes would reset the connection, and the client could lose the response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The endpoint cannot listen.
+/// The endpoint's address cannot be bound.
 #[derive(Debug, thiserror::Error)]
 #[error("cannot listen for operators on {address}: {source}; see 'ops' and LB_OPS")]
 pub struct ListenError {
@@ -33,10 +35,10 @@
     source: io::Error,
 }
 
-/// Listens at an address.
+/// Binds the endpoint's address.
 ///
 /// # Errors
-/// Where the address cannot be bound.
+/// If the address cannot be bound.
 pub async fn listen(address: SocketAddr) -> Result<TcpListener, ListenError> {
     let failed = |source| ListenError { address, source };
     let listener = TcpListener::bind(address).await.map_err(failed)?;
@@ -44,39 +46,40 @@
     Ok(listener)
 }
 
-/// Connections that have not sent a whole call yet, the oldest first, each with what closes it.
-type Unfinished = Rc<RefCell<VecDeque<Rc<Notify>>>>;
+/// Connections that have not sent a complete request yet, oldest first; each is represented by the [`Notify`] that
+/// closes it.
+type IncompleteRequests = Rc<RefCell<VecDeque<Rc<Notify>>>>;
 
-/// Answers calls for ever. Each connection is a task of its own, which ends by its timeouts.
+/// Accepts connections and never returns. Each connection runs in its own task, whose duration the time limits bound.
 pub async fn serve(service: Rc<AdminService>, listener: TcpListener) {
-    let unfinished = Unfinished::default();
+    let incomplete = IncompleteRequests::default();
     let connections = Rc::new(());
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(e) => {
-                tracing::warn!(error = %e, "the operators' endpoint");
+                tracing::warn!(error = %e, "cannot accept a connection on the admin endpoint");
                 tokio::time::sleep(Duration::from_millis(20)).await;
                 continue;
             }
         };
         if Rc::strong_count(&connections) > MAX_CONNECTIONS {
-            // The connection that has sent too little for longest makes way. Guards against callers that connect and send
-            // nothing.
-            let oldest = unfinished.borrow_mut().pop_front();
+            // Closes the oldest connection without a complete request, so that clients which connect and send nothing
+            // cannot block the endpoint.
+            let oldest = incomplete.borrow_mut().pop_front();
             match oldest {
                 Some(oldest) => oldest.notify_one(),
-                None => continue, // all are being answered; this one is closed and may come again
+                None => continue, // all others are being answered: drops the new connection; its client may retry
             }
         }
         let close = Rc::new(Notify::new());
-        unfinished.borrow_mut().push_back(close.clone());
-        let (service, unfinished, connection) = (service.clone(), unfinished.clone(), connections.clone());
+        incomplete.borrow_mut().push_back(close.clone());
+        let (service, incomplete, connection) = (service.clone(), incomplete.clone(), connections.clone());
         tokio::task::spawn_local(async move {
-            serve_connection(&service, stream, &close, &unfinished).await;
+            serve_connection(&service, stream, &close, &incomplete).await;
             drop(connection);
         });
-        // What makes way is gone before the next comes.
+        // Lets the task of the closed connection end before the next accept.
         tokio::task::yield_now().await;
     }
 }
@@ -85,7 +88,7 @@
     service: &AdminService,
     mut stream: TcpStream,
     close: &Rc<Notify>,
-    unfinished: &Unfinished,
+    incomplete: &IncompleteRequests,
 ) {
     let mut buffer = BytesMut::with_capacity(512);
     let read = tokio::select! {
@@ -94,7 +97,7 @@
         }
         () = close.notified() => None,
     };
-    unfinished.borrow_mut().retain(|other| !Rc::ptr_eq(other, close));
+    incomplete.borrow_mut().retain(|other| !Rc::ptr_eq(other, close));
     let (answer, is_head) = match read {
         Some(ParseResult::Request(method, path)) => {
             (service.handle_request(&method, &path), method == "HEAD")
@@ -112,7 +115,7 @@
     let _ = timeout(RESPONSE_TIMEOUT, write).await;
 }
 
-/// Reads until there is a call, or none can come; `None`: the caller has left.
+/// Reads until the request is complete or invalid; `None` if the client has closed the connection.
 async fn read_request(stream: &mut TcpStream, buffer: &mut BytesMut) -> Option<ParseResult> {
     loop {
         if stream.read_buf(buffer).await.ok()? == 0 {
--- a/src/operate/handover.rs
+++ b/src/operate/handover.rs
@@ -1,9 +1,10 @@
-//! What passes between the old and the new process of an upgrade: the messages, how they are read, and the processes' roles. Pure;
-//! `platform::handover` moves the bytes.
+//! The protocol between the old and the new process of an upgrade: its messages, their encoding, and the roles of the
+//! processes. No I/O; `platform::handover` does that.
 //!
-//! The old process sends what it knows, first its version and at last [`HandoverMessage::Begin`]; the new one takes all of it or
-//! nothing. From then on both send messages about single calls. One JSON object a line; its names are the wire format, read
-//! by older and newer processes, and never change with the identifiers here.
+//! The old process sends its state, starting with the protocol version and ending with [`HandoverMessage::Begin`]; the
+//! new process applies all of it or none. After that both processes send messages about individual calls. Each message
+//! is one JSON object on a line. Older and newer processes read the names in it, so they must not change with the
+//! identifiers in this module.
 
 use std::net::IpAddr;
 
@@ -11,55 +12,56 @@
 
 use crate::{LoadReport, Micros};
 
-/// Version of these messages. Another version's hand-over is not read.
+/// Version of the protocol. A hand-over of any other version is refused.
 pub const VERSION: u32 = 1;
-/// The longest line; a server's or a call's takes a few hundred bytes, and a class's name is in each.
+/// Maximum length of a line. The line of a server or a call takes a few hundred bytes; a call's includes the class
+/// name.
 pub const MAX_LINE_BYTES: usize = 64 * 1024;
-/// Maximum number of servers that are taken over; there are a few dozen.
+/// Maximum number of servers in a hand-over; a deployment has a few dozen.
 const MAX_SERVERS: usize = 10_000;
-/// A load report older than this says nothing of now.
+/// Load reports older than this are ignored.
 const MAX_REPORT_AGE: Micros = 2_000_000;
 
-/// An established call, as it is handed over.
+/// An established call that is handed over.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EstablishedCall {
-    /// Its id on the wire.
+    /// The call's id on the wire.
     pub tag: String,
     /// The server's id.
     pub server: String,
-    /// Its class's name.
+    /// The name of the call's class.
     pub class: String,
-    /// Its caller's address.
+    /// The caller's address.
     pub peer: IpAddr,
 }
 
-/// What the old process knows of a server.
+/// The old process's view of a server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerSnapshot {
-    /// Its id.
+    /// The server's id.
     pub server: String,
-    /// For how long it has been known to drain; `None`: it takes calls.
+    /// How long the server has been draining; `None` if it accepts calls.
     #[serde(rename = "drains_for")]
     pub draining_for: Option<Micros>,
-    /// It is ejected.
+    /// Whether the server is ejected because it does not answer.
     #[serde(rename = "silent")]
     pub is_ejected: bool,
-    /// Its last load report's age, and the wait in it, in milliseconds.
+    /// The age of the last load report, and the queueing delay that it reported, in milliseconds.
     #[serde(rename = "report")]
     pub last_report: Option<(Micros, f64)>,
 }
 
-/// What a known server's state amounts to for the decision module.
+/// The load of a server as derived from its snapshot.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SnapshotLoad {
-    /// It does not answer.
+    /// The server does not answer.
     NoAnswer,
-    /// Its last report, which is recent enough.
+    /// The server's last load report, which is recent enough.
     Reported(LoadReport),
 }
 
 impl ServerSnapshot {
-    /// What the decision module is to be told; `None`: nothing that still holds.
+    /// The load to pass to the controller; `None` if there is no valid recent report.
     pub fn load(&self) -> Option<SnapshotLoad> {
         if self.is_ejected {
             return Some(SnapshotLoad::NoAnswer);
@@ -75,101 +77,101 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "say")]
 pub enum HandoverMessage {
-    /// The first message of the old process: its version, and the number of its endpoint list.
+    /// The first message of the old process: the protocol version and the sequence number of its endpoint list.
     #[serde(rename = "hello")]
     Hello {
         /// See [`VERSION`].
         version: u32,
-        /// The number of the last event that its list holds.
+        /// The sequence number of the last event in the list.
         seq: u32,
     },
-    /// What it knows of a server.
+    /// The old process's view of a server.
     #[serde(rename = "server")]
     Server(ServerSnapshot),
-    /// That was all; the new process may begin.
+    /// The old process has sent its whole state; the new process may begin.
     #[serde(rename = "begin")]
     Begin,
-    /// The new process listens and takes clients.
+    /// The new process listens and accepts clients.
     #[serde(rename = "serving")]
     Serving,
-    /// An established call is the other's from now on.
+    /// Transfers an established call to the receiver.
     #[serde(rename = "standing")]
     Established(EstablishedCall),
-    /// A caller released a call that the other may have.
+    /// A caller released a call that the receiver may have.
     #[serde(rename = "caller_ends")]
     ReleasedByCaller {
-        /// Its id on the wire.
+        /// The call's id on the wire.
         tag: String,
     },
-    /// A server ended a call that the other may have.
+    /// A server ended a call that the receiver may have.
     #[serde(rename = "server_ends")]
     EndedByServer {
         /// The server's id.
         server: String,
         /// The call's id on the wire.
         tag: String,
-        /// It came to its end in order; else it was cut.
+        /// Whether the call ended regularly; otherwise it was cut off.
         completed: bool,
     },
-    /// A caller is to be sent a release, and no connection of it is here.
+    /// A release has to be sent to a caller that has no connection to the sender of this message.
     #[serde(rename = "owed")]
     PendingRelease {
         /// The call's id on the wire.
         tag: String,
-        /// Its caller's address.
+        /// The caller's address.
         peer: IpAddr,
-        /// It came to its end in order; else it was cut.
+        /// Whether the call ended regularly; otherwise it was cut off.
         completed: bool,
     },
 }
 
 impl HandoverMessage {
-    /// The message as a line, with its line end.
+    /// Encodes the message as a line, including the newline.
     pub fn to_line(&self) -> Vec<u8> {
         let mut line = serde_json::to_vec(self).unwrap_or_default();
         line.push(b'\n');
         line
     }
 
-    /// Reads a line; `None`: it is no message of this version.
+    /// Decodes a line; `None` if it is not a message of this version.
     pub fn from_line(line: &[u8]) -> Option<HandoverMessage> {
         serde_json::from_slice(line).ok()
     }
 }
 
-/// What the new process has received before it begins.
+/// The state that the new process has received before [`HandoverMessage::Begin`].
 #[derive(Debug, Default, PartialEq)]
 pub struct ReceivedHandover {
-    /// The number of the old process's list; `None`: it has not sent its version yet.
+    /// The sequence number of the old process's endpoint list; `None` before [`HandoverMessage::Hello`] has arrived.
     pub seq: Option<u32>,
-    /// What it knows of servers.
+    /// The old process's view of the servers.
     pub servers: Vec<ServerSnapshot>,
 }
 
-/// What a message meant for an inheritance.
+/// The state of the hand-over after a message.
 #[derive(Debug, PartialEq)]
 pub enum HandoverProgress {
-    /// There is more to come.
+    /// More messages have to follow.
     Incomplete,
-    /// That was all.
+    /// All state has arrived.
     Complete,
-    /// It cannot be used.
+    /// The hand-over cannot be used.
     Refused(HandoverError),
 }
 
-/// Why an inheritance cannot be used.
+/// Why a hand-over cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HandoverError {
-    /// The old process sends another version of the messages.
-    #[error("it is of another version")]
+    /// The old process uses another version of the protocol.
+    #[error("the other process uses another version of the hand-over protocol")]
     OtherVersion,
-    /// A message came where it may not.
-    #[error("its messages come out of order")]
+    /// A message arrived that is not allowed at this point.
+    #[error("a hand-over message arrived out of order")]
     OutOfOrder,
 }
 
 impl ReceivedHandover {
-    /// Takes the next message.
+    /// Handles the next message.
     pub fn handle_message(&mut self, message: HandoverMessage) -> HandoverProgress {
         match message {
             HandoverMessage::Hello { version, .. } if version != VERSION => {
@@ -179,8 +181,8 @@
                 self.seq = Some(seq);
                 HandoverProgress::Incomplete
             }
-            HandoverMessage::Server(known) if self.seq.is_some() && self.servers.len() < MAX_SERVERS => {
-                self.servers.push(known);
+            HandoverMessage::Server(snapshot) if self.seq.is_some() && self.servers.len() < MAX_SERVERS => {
+                self.servers.push(snapshot);
                 HandoverProgress::Incomplete
             }
             HandoverMessage::Begin if self.seq.is_some() => HandoverProgress::Complete,
@@ -189,28 +191,28 @@
     }
 }
 
-/// This process's role towards another at the same address.
+/// The role of this process relative to another process at the same address.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Role {
-    /// There is no other.
+    /// There is no other process.
     #[default]
     Alone,
-    /// This is the new one: the old one still runs.
+    /// This process is the newer one, and the older one still runs.
     Newer,
-    /// This is the old one: the new one has started.
+    /// This process is the older one, and the newer one has started.
     Older {
-        /// The new one takes clients.
+        /// Whether the newer process accepts clients.
         successor_is_serving: bool,
     },
 }
 
 impl Role {
-    /// Whether another process takes clients at this address, so that this one may end.
+    /// Whether a newer process accepts clients at this address, so that this one may exit.
     pub fn has_successor(self) -> bool {
         self == Role::Older { successor_is_serving: true }
     }
 
-    /// Whether two processes share what is one gatekeeper's.
+    /// Whether two processes currently run as the same gatekeeper.
     pub fn is_shared(self) -> bool {
         self != Role::Alone
     }
--- a/src/operate/http.rs
+++ b/src/operate/http.rs
@@ -1,41 +1,42 @@
-//! HTTP/1.1, as far as the operators' door needs it: one call is read out of a buffer, one answer is written. No I/O.
+//! The subset of HTTP/1.1 that the admin endpoint needs: parses one request from a buffer and encodes one response. No
+//! I/O.
 
 use std::fmt::Write as _;
 
-/// The longest head, in bytes.
+/// Maximum length of a request's head, in bytes.
 pub const MAX_HEAD_BYTES: usize = 4 * 1024;
-/// The longest body, in bytes. No call needs one; what comes is read and left aside.
+/// Maximum length of a request's body, in bytes. No request needs a body; it is read and ignored.
 pub const MAX_BODY_BYTES: usize = 4 * 1024;
-/// More header lines than this are too many.
+/// Maximum number of header lines.
 const MAX_HEADERS: usize = 32;
 
-/// What stands in a connection's buffer.
+/// The result of parsing a connection's buffer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ParseResult {
-    /// Not a whole call yet.
+    /// The request is not complete yet.
     Incomplete,
-    /// A call: its method, and its path without the query.
+    /// A request: the method, and the path without the query.
     Request(String, String),
-    /// No call, and the status that says why.
+    /// The request is invalid; the status of the response to it.
     Invalid(u16),
 }
 
-/// Reads a call; its body, if it has one, must have come whole.
+/// Parses a request. A request with a body is incomplete until all of the body is in the buffer.
 pub fn parse_request(buffer: &[u8]) -> ParseResult {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
-    let head = match request.parse(buffer) {
-        Ok(httparse::Status::Complete(size)) if size <= MAX_HEAD_BYTES => size,
+    let head_length = match request.parse(buffer) {
+        Ok(httparse::Status::Complete(length)) if length <= MAX_HEAD_BYTES => length,
         Ok(httparse::Status::Partial) if buffer.len() < MAX_HEAD_BYTES => return ParseResult::Incomplete,
         Ok(_) | Err(httparse::Error::TooManyHeaders) => return ParseResult::Invalid(431),
         Err(httparse::Error::Version) => return ParseResult::Invalid(505),
         Err(_) => return ParseResult::Invalid(400),
     };
-    let size = match body_length(request.headers) {
-        Ok(size) => size,
+    let body_length = match body_length(request.headers) {
+        Ok(length) => length,
         Err(status) => return ParseResult::Invalid(status),
     };
-    if buffer.len() < head + size {
+    if buffer.len() < head_length + body_length {
         return ParseResult::Incomplete;
     }
     let (method, target) = (request.method.unwrap_or_default(), request.path.unwrap_or_default());
@@ -43,9 +44,9 @@
     ParseResult::Request(method.to_string(), path.to_string())
 }
 
-/// The size of a call's body; or the status that says why it cannot be read.
+/// The length of the request's body; an error is the status of the response to the invalid request.
 fn body_length(headers: &[httparse::Header]) -> Result<usize, u16> {
-    let mut body = None;
+    let mut body_length = None;
     for header in headers {
         if header.name.eq_ignore_ascii_case("transfer-encoding") {
             return Err(411);
@@ -58,51 +59,51 @@
             if digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
                 return Err(400);
             }
-            let size = std::str::from_utf8(digits).ok().and_then(|digits| digits.parse::<usize>().ok());
-            // Two lengths that differ would leave open where the call ends.
-            if body.is_some_and(|earlier| earlier != size) {
+            let length = std::str::from_utf8(digits).ok().and_then(|digits| digits.parse::<usize>().ok());
+            // Two different lengths would leave the end of the request ambiguous.
+            if body_length.is_some_and(|earlier| earlier != length) {
                 return Err(400);
             }
-            body = Some(size);
+            body_length = Some(length);
         }
     }
-    match body {
+    match body_length {
         None => Ok(0),
-        Some(Some(size)) if size <= MAX_BODY_BYTES => Ok(size),
+        Some(Some(length)) if length <= MAX_BODY_BYTES => Ok(length),
         Some(_) => Err(413),
     }
 }
 
-/// One answer.
+/// A response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
-    /// Its status.
+    /// The status code.
     pub status: u16,
-    /// Methods that would do, where the call's does not.
+    /// The value of the `Allow` header: the methods that the path supports, if the request's is not one of them.
     pub allow: Option<&'static str>,
-    /// Its text.
+    /// The body.
     pub body: String,
-    /// It is a JSON object.
+    /// Whether the body is JSON; otherwise it is plain text.
     pub is_json: bool,
 }
 
 impl Response {
-    /// An answer with a line of text.
+    /// A response with a plain-text body.
     pub fn new(status: u16, text: impl Into<String>) -> Response {
         Response { status, allow: None, body: text.into(), is_json: false }
     }
 
-    /// An answer with a JSON object.
-    pub fn json(object: String) -> Response {
-        Response { is_json: true, ..Response::new(200, object) }
+    /// A response with status 200 and a JSON body.
+    pub fn json(body: String) -> Response {
+        Response { is_json: true, ..Response::new(200, body) }
     }
 
-    /// An answer that says no more than its status does.
+    /// A response whose body is the reason phrase of the status.
     pub fn from_status(status: u16) -> Response {
         Response::new(status, format!("{}\n", reason_phrase(status)))
     }
 
-    /// As it goes out; the body is left out where the call was HEAD.
+    /// Encodes the response; `head_only` omits the body, as for a HEAD request.
     pub fn to_bytes(&self, head_only: bool) -> Vec<u8> {
         let mut text = format!("HTTP/1.1 {} {}\r\n", self.status, reason_phrase(self.status));
         if let Some(allow) = self.allow {
--- a/src/operate/metrics.rs
+++ b/src/operate/metrics.rs
@@ -1,32 +1,33 @@
-//! The metrics as operators' scrapers read them: one line each, in the Prometheus text format. No I/O. The names are an interface.
+//! Renders the metrics in the Prometheus text format. No I/O. Scrapers and dashboards depend on the metric names.
 
 use std::fmt::Write as _;
 
 use crate::gateway::ClassCounters;
 
-/// What every metric's name begins with.
+/// Prefix of all metric names.
 const PREFIX: &str = "edge_lb";
 
-/// What one frontend's core says of itself at one moment.
+/// The metrics of one frontend at one moment.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Metrics {
-    /// Counters by class, with the class's name.
+    /// The counters of each class, with the name of the class.
     pub classes: Vec<(String, ClassCounters)>,
-    /// Calls taken and not yet ended.
+    /// Calls that were accepted and have not ended.
     pub in_flight: usize,
-    /// Setup servers in the list.
+    /// Setup servers in the endpoint list.
     pub servers_known: usize,
-    /// Those of them that get no new calls now.
+    /// Listed setup servers that currently get no new calls.
     pub servers_excluded: usize,
-    /// For how many seconds the resolver has answered with no list.
+    /// Seconds since the resolver last returned an endpoint list.
     pub list_age_s: usize,
 }
 
 impl Metrics {
-    /// Adds another frontend's; a class that both have is counted together.
+    /// Adds the metrics of another frontend. The counters of a class that both have are summed; the age of the list is
+    /// the greater of the two.
     pub fn add(&mut self, other: Metrics) {
         for (name, counters) in other.classes {
-            match self.classes.iter_mut().find(|(known, _)| *known == name) {
+            match self.classes.iter_mut().find(|(own_name, _)| *own_name == name) {
                 Some((_, sum)) => sum.add(&counters),
                 None => self.classes.push((name, counters)),
             }
@@ -37,7 +38,7 @@
         self.list_age_s = self.list_age_s.max(other.list_age_s);
     }
 
-    /// The text that a scraper reads.
+    /// Renders all metrics.
     pub fn render(&self) -> String {
         let mut text = String::new();
         self.render_counters(&mut text);
@@ -76,7 +77,7 @@
     }
 }
 
-/// A label's value: a backslash, a quote or a line end in it would end the label or the line.
+/// Escapes a label value: an unescaped backslash, quote or newline would break the line's syntax.
 fn escape_label(label: &str) -> String {
     label.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
 }
--- a/src/operate/mod.rs
+++ b/src/operate/mod.rs
@@ -1,7 +1,8 @@
-//! What operators see and do: an HTTP endpoint of their own, metrics, and whether the gatekeeper serves clients.
+//! Operation of the gatekeeper: the admin HTTP endpoint, metrics, and taking the gatekeeper in and out of service.
 //!
-//! `http` and `metrics` are the codec and the text, `serving_state` the state and `handover` what passes at an upgrade, all
-//! without I/O; `admin` moves the bytes. [`AdminService`] joins them to the frontends. Nothing here decides a call.
+//! `http` encodes and decodes HTTP, `metrics` renders the metrics, `serving_state` tracks whether a frontend serves
+//! clients, and `handover` defines the messages of an upgrade; none of them does I/O. `admin` does the I/O of the
+//! endpoint, and [`AdminService`] connects all of them with the frontends. Routing decisions are made elsewhere.
 
 pub mod admin;
 pub mod handover;
@@ -20,38 +21,39 @@
 use http::Response;
 use metrics::Metrics;
 
-/// A frontend, as the operators see it.
+/// The part of a frontend that the admin endpoint reports on.
 pub trait FrontendStatus {
-    /// Whether it takes clients now.
+    /// Whether the frontend currently accepts clients.
     fn is_ready(&self) -> bool;
 
-    /// Its metrics now.
+    /// The current metrics.
     fn metrics(&self) -> Metrics;
 
-    /// Whether another process of this gatekeeper takes clients at its address.
+    /// Whether a newer process of this gatekeeper accepts clients at the same address.
     fn has_successor(&self) -> bool;
 
-    /// When its last endpoint list came.
+    /// When the last endpoint list was received.
     fn list_received_at(&self) -> Option<Micros>;
 }
 
-/// The fleet, as the operators see it.
+/// The part of the fleet membership that the admin endpoint and the frontends use.
 pub trait FleetStatus {
-    /// The object that `GET /control/fleet` answers.
+    /// The JSON body of the response to `GET /control/fleet`.
     fn status(&self) -> String;
 
-    /// The list that `GET /control/fleet/log` answers; `None`: there are no voters.
+    /// The JSON body of the response to `GET /control/fleet/log`; `None` if there are no voters.
     fn log(&self) -> Option<String>;
 
-    /// What the frontends hear of it: the settling bound, and a summary of the membership.
+    /// Publishes the settling bound and a summary of the membership to the frontends.
     fn membership(&self) -> watch::Receiver<(Micros, MembershipSummary)>;
 }
 
-/// What the operators' calls act on. It owns the order to be out of service; the frontends own their state and follow it.
+/// Handles the requests to the admin endpoint. It owns the out-of-service flag; each frontend owns its serving state
+/// and updates it when the flag changes.
 #[derive(Default)]
 pub struct AdminService {
     frontends: RefCell<Vec<Weak<dyn FrontendStatus>>>,
-    /// How many frontends there will be; before all are there, nobody takes clients.
+    /// The number of frontends. The gatekeeper is not ready before all of them are registered.
     expected_frontends: Cell<usize>,
     out_of_service: watch::Sender<bool>,
     is_shutting_down: Cell<bool>,
@@ -59,7 +61,7 @@
 }
 
 impl AdminService {
-    /// A service for so many frontends.
+    /// Creates a service that expects the given number of frontends.
     pub fn new(expected_frontends: usize) -> Rc<AdminService> {
         let expected_frontends = Cell::new(expected_frontends);
         Rc::new(AdminService { expected_frontends, ..AdminService::default() })
@@ -75,42 +77,42 @@
         *self.fleet.borrow_mut() = Some(fleet);
     }
 
-    /// What the fleet's membership says, where there is a fleet.
+    /// Subscribes to the fleet's membership; `None` if there is no fleet.
     pub fn membership(&self) -> Option<watch::Receiver<(Micros, MembershipSummary)>> {
         self.fleet.borrow().as_ref().map(|fleet| fleet.membership())
     }
 
-    /// Whether operators have taken the gatekeeper out of service.
+    /// Whether an operator has taken the gatekeeper out of service.
     pub fn is_out_of_service(&self) -> bool {
         *self.out_of_service.borrow()
     }
 
-    /// Whether the program shuts down.
+    /// Whether the program is shutting down.
     pub fn is_shutting_down(&self) -> bool {
         self.is_shutting_down.get()
     }
 
-    /// Whether another process of this gatekeeper takes clients at its address.
+    /// Whether a newer process of this gatekeeper accepts clients at the same address.
     pub fn has_successor(&self) -> bool {
         self.live_frontends().iter().any(|frontend| frontend.has_successor())
     }
 
-    /// Calls without a final answer, and established ones.
+    /// The number of open calls: those without a final answer and established ones.
     pub fn open_call_count(&self) -> usize {
         self.live_frontends().iter().map(|frontend| frontend.metrics().in_flight).sum()
     }
 
-    /// When the older of the frontends' endpoint lists came; `None`: one has none.
+    /// When the oldest of the frontends' endpoint lists was received; `None` if a frontend has none.
     pub fn list_received_at(&self) -> Option<Micros> {
         self.live_frontends().iter().map(|frontend| frontend.list_received_at()).min().flatten()
     }
 
-    /// Tells whether the gatekeeper is to be out of service.
+    /// Subscribes to the out-of-service flag.
     pub fn watch_out_of_service(&self) -> watch::Receiver<bool> {
         self.out_of_service.subscribe()
     }
 
-    /// The program shuts down: there is no way back into service.
+    /// Records that the program is shutting down; from then on requests to go back into service are refused.
     pub fn shut_down(&self) {
         self.is_shutting_down.set(true);
     }
@@ -119,7 +121,7 @@
         self.frontends.borrow().iter().filter_map(Weak::upgrade).collect()
     }
 
-    /// Whether all frontends take clients.
+    /// Whether all expected frontends are registered and accept clients.
     pub fn is_ready(&self) -> bool {
         let frontends = self.live_frontends();
         let all_started = frontends.len() >= self.expected_frontends.get();
@@ -134,7 +136,7 @@
         sum.render()
     }
 
-    /// Carries a call out and answers it.
+    /// Handles a request and returns the response.
     pub fn handle_request(&self, method: &str, path: &str) -> Response {
         #[cfg(feature = "faults")]
         if let Some(fault) = path.strip_prefix("/faults/") {
@@ -177,18 +179,18 @@
         }
     }
 
-    /// Both orders may come again and change nothing then.
+    /// Sets the out-of-service flag. Setting it to the same value again has no effect.
     fn set_out_of_service(&self, is_out: bool) -> Response {
         let has_changed =
-            self.out_of_service.send_if_modified(|held| std::mem::replace(held, is_out) != is_out);
+            self.out_of_service.send_if_modified(|current| std::mem::replace(current, is_out) != is_out);
         if has_changed {
-            tracing::info!(out = is_out, "the operators changed what the gatekeeper does for clients");
+            tracing::info!(out = is_out, "an operator changed whether the gatekeeper is in service");
         }
         Response::new(200, if is_out { "out of service\n" } else { "in service\n" })
     }
 }
 
-/// Sets a fail point, as in `PUT /faults/wall=return(3600)`. For tests: release builds lack it.
+/// Sets a fail point, as in `PUT /faults/wall=return(3600)`. For tests only: release builds do not include it.
 #[cfg(feature = "faults")]
 fn set_fail_point(fault: &str) -> Response {
     let Some((name, action)) = fault.split_once('=') else { return Response::new(400, "NAME=ACTION\n") };
--- a/src/operate/serving_state.rs
+++ b/src/operate/serving_state.rs
@@ -1,31 +1,34 @@
-//! Whether a frontend serves clients: in service, out of service, or shutting down. Pure: the time comes with each question.
+//! Whether a frontend serves clients: in service, out of service, or shutting down. No I/O and no clock: the caller
+//! passes the current time.
 
 use crate::Micros;
 
-/// From the drain on, load balancers may still send new connections for this long: they ask ten times a second, and stop 0.2 s
-/// after a no. What is closed earlier only comes again.
+/// How long after the start of a drain load balancers may still send new connections: they probe ten times a second
+/// and stop 0.2 s after a negative answer. Clients whose connections are closed earlier would only reconnect here.
 const DRAIN_SETTLE_TIME: Micros = 400_000;
-/// From here on new calls are rejected, so that a connection that is never idle falls idle: 4 s after the drain began it must
-/// have been without a request for 2 s.
+/// Time from the start of a drain until new calls are rejected. Rejecting them makes busy connections idle: 4 s after
+/// the start of the drain a connection must have had no request for 2 s.
 const REJECT_AFTER: Micros = 1_200_000;
-/// After SIGTERM, set-ups keep coming for a while: new connections for 0.4 s, requests on open ones 0.2 s more.
+/// Minimum duration of a shutdown. After SIGTERM, new connections still arrive for 0.4 s, and requests on open
+/// connections for another 0.2 s.
 const MIN_SHUTDOWN_TIME: Micros = 850_000;
-/// Established calls may go on this long after SIGTERM, or as long as the most patient caller waits where that is less, and
-/// pending ones a little longer: SIGKILL may come 0.7 s after that.
+/// How long established calls may continue after SIGTERM, unless the longest time that a caller waits is shorter.
+/// SIGKILL may follow 0.7 s after that limit, so pending calls may continue a little longer.
 const MAX_SHUTDOWN_TIME: Micros = 3_000_000;
-/// How much longer pending calls may go on; what is left of the 0.7 s is for flushing connections.
+/// How long pending calls may continue after that limit; the rest of the 0.7 s is reserved for flushing connections.
 const PENDING_CALLS_EXTRA_TIME: Micros = 425_000;
-/// With a successor there is nothing to release and nothing to hurry for: pending calls have their own deadlines, what is
-/// handed over has to be read, and callers have to leave, who are rejected at last.
+/// Minimum duration of a shutdown with a successor. It needs no early end, because no calls have to be released:
+/// pending calls have their own deadlines, the successor has to read what is handed over, and callers have to
+/// disconnect, for which their new calls are finally rejected.
 const MIN_HANDOVER_TIME: Micros = 1_000_000;
-/// How long client connections are waited for at a hand-over.
+/// Maximum time that a hand-over waits for client connections to close.
 const HANDOVER_CLIENTS_TIME: Micros = 3_000_000;
-/// How long calls are waited for at a hand-over.
+/// Maximum time that a hand-over waits for calls to end.
 const MAX_HANDOVER_TIME: Micros = 10_000_000;
-/// Retry-after of a call that is rejected while draining; it will find another gatekeeper.
+/// Retry-after of a call that is rejected during a drain. It is short because the retry will reach another gatekeeper.
 const DRAIN_RETRY_AFTER: Micros = 100_000;
 
-/// What is still open when a shutdown asks whether it may end.
+/// The calls and connections that are still open during a shutdown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OpenWork {
     /// Calls without a final answer.
@@ -42,52 +45,52 @@
     }
 }
 
-/// What a frontend does for clients.
+/// Whether and how a frontend serves clients.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServingState {
-    /// Since when the operators have it out of service.
+    /// When an operator took the frontend out of service; `None` if in service.
     out_of_service_since: Option<Micros>,
-    /// Since when the program shuts down.
+    /// When the shutdown began; `None` if there is none.
     shutting_down_since: Option<Micros>,
-    /// Another process takes clients at the same address.
+    /// Whether a newer process accepts clients at the same address.
     has_successor: bool,
-    /// How long the most patient caller waits; `None`: unbounded.
+    /// The longest time that a caller waits; `None` if unbounded.
     max_wait: Option<Micros>,
 }
 
 impl ServingState {
-    /// For callers of whom none waits longer than this; 0: unbounded.
+    /// Creates the state for a frontend whose callers wait at most `max_wait`; 0 means unbounded.
     pub fn new(max_wait: Micros) -> ServingState {
         ServingState { max_wait: Some(max_wait).filter(|wait| *wait > 0), ..ServingState::default() }
     }
 
-    /// Takes the operators' order. The same again changes nothing.
+    /// Takes the frontend out of service or back into it. Repeating the same request has no effect.
     pub fn set_out_of_service(&mut self, now: Micros, is_out: bool) {
         self.out_of_service_since = is_out.then(|| self.out_of_service_since.unwrap_or(now));
     }
 
-    /// Begins the shutdown.
+    /// Begins the shutdown; a repeated call has no effect.
     pub fn shut_down(&mut self, now: Micros) {
         self.shutting_down_since.get_or_insert(now);
     }
 
-    /// Sets whether another process takes clients at the same address.
+    /// Sets whether a newer process accepts clients at the same address.
     pub fn set_successor(&mut self, has_successor: bool) {
         self.has_successor = has_successor;
     }
 
-    /// Whether another process takes clients at the same address.
+    /// Whether a newer process accepts clients at the same address.
     pub fn has_successor(&self) -> bool {
         self.has_successor
     }
 
-    /// Whether this process hands over to another: it listens no more, and gives established calls away.
+    /// Whether this process hands over to a newer one: it no longer listens and transfers its established calls.
     pub fn is_handing_over(&self) -> bool {
         self.has_successor && self.shutting_down_since.is_some()
     }
 
-    /// Whether the shutdown may end: what comes in is still answered, established calls may come to their end, then it is
-    /// over.
+    /// Whether the process may exit. Until then incoming requests are still answered, and established calls may end by
+    /// themselves within the time limits.
     pub fn may_exit(&self, now: Micros, open: OpenWork) -> bool {
         let Some(since) = self.shutting_down_since else { return false };
         let elapsed = now.saturating_sub(since);
@@ -108,19 +111,19 @@
             || elapsed >= max + PENDING_CALLS_EXTRA_TIME
     }
 
-    /// Whether the frontend is in service.
+    /// Whether the frontend is neither out of service nor shutting down.
     pub fn is_in_service(&self) -> bool {
         self.out_of_service_since.is_none() && self.shutting_down_since.is_none()
     }
 
-    /// Whether client connections are to be closed where nothing is open on them.
+    /// Whether client connections without open calls are to be closed.
     pub fn closes_idle_clients(&self, now: Micros) -> bool {
         let is_past_settle_time = |since| now >= since + DRAIN_SETTLE_TIME;
         self.is_handing_over() || self.out_of_service_since.is_some_and(is_past_settle_time)
     }
 
-    /// The retry-after with which new calls are rejected; `None`: they are taken. Where clients keep connections to this
-    /// gatekeeper, these may be closed first.
+    /// The retry-after with which new calls are rejected; `None` if they are accepted. Dedicated client connections are
+    /// closed first, so their calls are rejected only after a delay.
     pub fn rejection_retry_after(&self, now: Micros, clients: ClientConnections) -> Option<Micros> {
         let delay = match clients {
             ClientConnections::Dedicated => REJECT_AFTER,
@@ -138,12 +141,12 @@
     has_finished || elapsed >= MAX_HANDOVER_TIME
 }
 
-/// Whether clients keep connections to this gatekeeper, which are closed to send them elsewhere.
+/// Whether each client keeps its own connections to this gatekeeper, so that closing them makes it connect elsewhere.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientConnections {
-    /// They do: the platform's callers.
+    /// Each caller has its own connections, as on the platform protocol.
     Dedicated,
-    /// They do not: SIP over UDP, and TCP connections that carry many callers.
+    /// Callers have no connections of their own: SIP over UDP, and TCP connections that carry many callers.
     Shared,
 }
 
