--- a/src/operate/handover/tests.rs
+++ b/src/operate/handover/tests.rs
@@ -1,11 +1,11 @@
-//! ReceivedHandover, load reports and the messages' lines.
+//! Receiving a hand-over, the use of load reports, and the encoding of the messages.
 
 use proptest::prelude::*;
 use rstest::rstest;
 
 use super::*;
 
-fn known(
+fn server_message(
     draining_for: Option<Micros>,
     is_ejected: bool,
     last_report: Option<(Micros, f64)>,
@@ -21,48 +21,48 @@
 const HELLO: HandoverMessage = HandoverMessage::Hello { version: VERSION, seq: 7 };
 
 #[rstest]
-#[case::whole(vec![HELLO, known(None, false, None), HandoverMessage::Begin], HandoverProgress::Complete)]
+#[case::complete(vec![HELLO, server_message(None, false, None), HandoverMessage::Begin], HandoverProgress::Complete)]
 #[case::no_servers(vec![HELLO, HandoverMessage::Begin], HandoverProgress::Complete)]
-#[case::torn(vec![HELLO, known(None, false, None)], HandoverProgress::Incomplete)]
-#[case::nothing_said(vec![], HandoverProgress::Incomplete)]
+#[case::incomplete(vec![HELLO, server_message(None, false, None)], HandoverProgress::Incomplete)]
+#[case::no_message(vec![], HandoverProgress::Incomplete)]
 #[case::other_version(vec![HandoverMessage::Hello { version: VERSION + 1, seq: 7 }], HandoverProgress::Refused(HandoverError::OtherVersion))]
 #[case::no_hello(vec![HandoverMessage::Begin], HandoverProgress::Refused(HandoverError::OutOfOrder))]
 #[case::hello_twice(vec![HELLO, HELLO], HandoverProgress::Refused(HandoverError::OutOfOrder))]
 #[case::call_too_early(vec![HELLO, HandoverMessage::Serving], HandoverProgress::Refused(HandoverError::OutOfOrder))]
-fn inheritance_is_complete_or_nothing(
+fn handover_is_applied_completely_or_refused(
     #[case] messages: Vec<HandoverMessage>,
-    #[case] wanted: HandoverProgress,
+    #[case] expected: HandoverProgress,
 ) {
-    let mut held = ReceivedHandover::default();
-    let last = messages.into_iter().map(|message| held.handle_message(message)).last();
-    assert_eq!(last.unwrap_or(HandoverProgress::Incomplete), wanted);
+    let mut handover = ReceivedHandover::default();
+    let last = messages.into_iter().map(|message| handover.handle_message(message)).last();
+    assert_eq!(last.unwrap_or(HandoverProgress::Incomplete), expected);
 }
 
 #[rstest]
-#[case::silent(known(None, true, None), Some((false, None)))]
-#[case::fresh(known(None, false, Some((100_000, 40.0))), Some((true, Some(40.0))))]
-#[case::old(known(None, false, Some((2_000_001, 40.0))), None)]
-#[case::no_figure(known(None, false, Some((0, f64::NAN))), None)]
-#[case::below_zero(known(None, false, Some((0, -1.0))), None)]
-#[case::unheard(known(None, false, None), None)]
-fn load_report_counts_while_it_is_recent(
+#[case::ejected(server_message(None, true, None), Some((false, None)))]
+#[case::fresh(server_message(None, false, Some((100_000, 40.0))), Some((true, Some(40.0))))]
+#[case::old(server_message(None, false, Some((2_000_001, 40.0))), None)]
+#[case::not_a_number(server_message(None, false, Some((0, f64::NAN))), None)]
+#[case::negative(server_message(None, false, Some((0, -1.0))), None)]
+#[case::no_report(server_message(None, false, None), None)]
+fn load_report_is_used_only_while_recent(
     #[case] message: HandoverMessage,
-    #[case] wanted: Option<(bool, Option<f64>)>,
+    #[case] expected: Option<(bool, Option<f64>)>,
 ) {
-    let HandoverMessage::Server(known) = message else { unreachable!() };
+    let HandoverMessage::Server(snapshot) = message else { unreachable!() };
     assert_eq!(
-        known.load().map(|load| match load {
+        snapshot.load().map(|load| match load {
             SnapshotLoad::NoAnswer => (false, None),
             SnapshotLoad::Reported(report) => (true, report.queueing_delay_ms),
         }),
-        wanted
+        expected
     );
 }
 
 proptest! {
-    /// What one sends the other reads; noise is no message and causes no panic.
+    /// Each message is decoded to what was encoded; arbitrary bytes are rejected without a panic.
     #[test]
-    fn messages_survive_the_wire(tag in "[0-9a-f]{16}", server in "\\PC{0,20}", seq in any::<u32>(), completed in any::<bool>(),
+    fn messages_round_trip(tag in "[0-9a-f]{16}", server in "\\PC{0,20}", seq in any::<u32>(), completed in any::<bool>(),
                               age in any::<u32>(), noise in proptest::collection::vec(any::<u8>(), 0..60)) {
         let peer = IpAddr::from([127, 0, 0, 1]);
         let report = Some((Micros::from(age), 1.5));
@@ -79,15 +79,16 @@
             let line = message.to_line();
             prop_assert_eq!(line.iter().filter(|b| **b == b'\n').count(), 1);
             prop_assert_eq!(HandoverMessage::from_line(&line), Some(message));
-            prop_assert_eq!(HandoverMessage::from_line(&line[..line.len() / 2]), None, "half a message is none");
+            prop_assert_eq!(HandoverMessage::from_line(&line[..line.len() / 2]), None, "a truncated message is rejected");
         }
         let _ = HandoverMessage::from_line(&noise);
     }
 }
 
-/// The lines that the version before the names were changed wrote, one of each kind: read, and written the same.
+/// Compatibility with processes built before the identifiers were renamed: recorded lines, one of each kind, are
+/// decoded, and the same bytes are encoded again.
 #[test]
-fn lines_of_the_earlier_version_are_read_and_written_byte_for_byte() {
+fn recorded_lines_are_decoded_and_encoded_byte_for_byte() {
     let recorded = include_str!("../../../tests/fixtures/handover_v1/messages.jsonl");
     let messages: Vec<HandoverMessage> = recorded
         .lines()
@@ -116,6 +117,6 @@
         HandoverMessage::PendingRelease { tag: tag(), peer, completed: false },
     ];
     assert_eq!(messages, expected);
-    let written: Vec<u8> = messages.iter().flat_map(HandoverMessage::to_line).collect();
-    assert_eq!(String::from_utf8_lossy(&written), recorded);
+    let encoded: Vec<u8> = messages.iter().flat_map(HandoverMessage::to_line).collect();
+    assert_eq!(String::from_utf8_lossy(&encoded), recorded);
 }
--- a/src/operate/http/tests.rs
+++ b/src/operate/http/tests.rs
@@ -1,25 +1,25 @@
-//! Requests as they come, whole, in part and broken.
+//! Parsing of complete, incomplete and invalid requests.
 
 use proptest::prelude::*;
 use rstest::rstest;
 
 use super::*;
 
-fn call(method: &str, path: &str) -> ParseResult {
+fn request(method: &str, path: &str) -> ParseResult {
     ParseResult::Request(method.to_string(), path.to_string())
 }
 
 #[rstest]
-#[case::plain("GET /control/ready HTTP/1.1\r\nHost: a\r\n\r\n", call("GET", "/control/ready"))]
-#[case::query("GET /control/ready?x=1 HTTP/1.1\r\n\r\n", call("GET", "/control/ready"))]
-#[case::body("PUT /a HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}", call("PUT", "/a"))]
+#[case::plain("GET /control/ready HTTP/1.1\r\nHost: a\r\n\r\n", request("GET", "/control/ready"))]
+#[case::query("GET /control/ready?x=1 HTTP/1.1\r\n\r\n", request("GET", "/control/ready"))]
+#[case::body("PUT /a HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}", request("PUT", "/a"))]
 #[case::same_length_twice(
     "PUT /a HTTP/1.1\r\nContent-Length: 0\r\ncontent-length: 0\r\n\r\n",
-    call("PUT", "/a")
+    request("PUT", "/a")
 )]
-#[case::half_a_head("GET /control/ready HT", ParseResult::Incomplete)]
-#[case::half_a_body("PUT /a HTTP/1.1\r\nContent-Length: 3\r\n\r\n{}", ParseResult::Incomplete)]
-#[case::no_http("{\"verb\":\"ECHO\"}\n\n", ParseResult::Invalid(400))]
+#[case::incomplete_head("GET /control/ready HT", ParseResult::Incomplete)]
+#[case::incomplete_body("PUT /a HTTP/1.1\r\nContent-Length: 3\r\n\r\n{}", ParseResult::Incomplete)]
+#[case::not_http("{\"verb\":\"ECHO\"}\n\n", ParseResult::Invalid(400))]
 #[case::other_version("GET / HTTP/3.0\r\n\r\n", ParseResult::Invalid(505))]
 #[case::long_body("PUT /a HTTP/1.1\r\nContent-Length: 4097\r\n\r\n", ParseResult::Invalid(413))]
 #[case::huge_body(
@@ -32,28 +32,28 @@
     ParseResult::Invalid(400)
 )]
 #[case::chunked("PUT /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", ParseResult::Invalid(411))]
-#[case::expects("PUT /a HTTP/1.1\r\nExpect: 100-continue\r\n\r\n", ParseResult::Invalid(417))]
-fn calls_are_read(#[case] text: &str, #[case] wanted: ParseResult) {
-    assert_eq!(parse_request(text.as_bytes()), wanted);
+#[case::expect_header("PUT /a HTTP/1.1\r\nExpect: 100-continue\r\n\r\n", ParseResult::Invalid(417))]
+fn requests_are_parsed(#[case] text: &str, #[case] expected: ParseResult) {
+    assert_eq!(parse_request(text.as_bytes()), expected);
 }
 
 #[rstest]
 #[case::endless_line("GET /", "a", 1)]
 #[case::endless_headers("GET / HTTP/1.1\r\n", "X: y\r\n", 1)]
-fn a_head_without_an_end_is_refused(#[case] start: &str, #[case] more: &str, #[case] least: usize) {
+fn endless_head_is_refused(#[case] start: &str, #[case] chunk: &str, #[case] min_length: usize) {
     let mut text = start.to_string();
     while parse_request(text.as_bytes()) == ParseResult::Incomplete {
-        text.push_str(more);
-        assert!(text.len() <= MAX_HEAD_BYTES + more.len(), "it is read for ever");
+        text.push_str(chunk);
+        assert!(text.len() <= MAX_HEAD_BYTES + chunk.len(), "the parser never refuses the head");
     }
     assert_eq!(parse_request(text.as_bytes()), ParseResult::Invalid(431));
-    assert!(text.len() > least);
+    assert!(text.len() > min_length);
 }
 
 proptest! {
-    /// Whatever comes, a byte at a time, is read the same as at once, and never brings the reader down.
+    /// A request that arrives byte by byte is parsed like one that arrives at once, and arbitrary bytes cause no panic.
     #[test]
-    fn pieces_make_no_difference(text in "(GET|PUT) /[a-z]{0,9} HTTP/1.[01]\r\n([A-Za-z-]{1,9}: [ -~]{0,9}\r\n){0,3}\r\n",
+    fn fragmentation_does_not_change_the_result(text in "(GET|PUT) /[a-z]{0,9} HTTP/1.[01]\r\n([A-Za-z-]{1,9}: [ -~]{0,9}\r\n){0,3}\r\n",
                                  noise in proptest::collection::vec(any::<u8>(), 0..40)) {
         let whole = parse_request(text.as_bytes());
         let first = (1..=text.len()).map(|n| parse_request(&text.as_bytes()[..n])).find(|r| *r != ParseResult::Incomplete);
--- a/src/operate/metrics/tests.rs
+++ b/src/operate/metrics/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn each_class_is_rendered_from_the_start_and_labels_are_escaped() {
+fn classes_without_calls_are_rendered_and_labels_are_escaped() {
     let classes = vec![("check-setup".to_string(), counters(0)), ("a\"\\\nb".to_string(), counters(3))];
     let text = Metrics { classes, in_flight: 14, ..Metrics::default() }.render();
     for line in [
@@ -16,22 +16,22 @@
         "edge_lb_setup_servers_known 0",
         "edge_lb_setup_servers_excluded 0",
     ] {
-        assert!(text.lines().any(|l| l == line), "{line} is not in\n{text}");
+        assert!(text.lines().any(|l| l == line), "{line} is missing in\n{text}");
     }
 }
 
 #[test]
-fn class_of_both_frontends_is_counted_together() {
-    let of = |name: &str, served| Metrics {
+fn counters_of_the_same_class_are_summed() {
+    let metrics = |name: &str, served| Metrics {
         classes: vec![(name.to_string(), counters(served))],
         in_flight: 1,
         servers_known: 2,
         servers_excluded: 1,
         list_age_s: name.len(),
     };
-    let mut sum = of("a", 2);
-    sum.add(of("a", 3));
-    sum.add(of("b", 4));
+    let mut sum = metrics("a", 2);
+    sum.add(metrics("a", 3));
+    sum.add(metrics("b", 4));
     assert_eq!(sum.classes, [("a".to_string(), counters(5)), ("b".to_string(), counters(4))]);
     assert_eq!((sum.in_flight, sum.servers_known, sum.servers_excluded), (3, 6, 3));
 }
--- a/src/operate/serving_state/tests.rs
+++ b/src/operate/serving_state/tests.rs
@@ -1,4 +1,4 @@
-//! Draining, shutdown and hand-over by the clock.
+//! Timing of drains, shutdowns and hand-overs.
 
 use super::*;
 
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn drain_holds_until_taken_back_and_counts_from_the_first_order() {
+fn drain_starts_at_the_first_request_and_lasts_until_revoked() {
     let mut state = ServingState::default();
     assert!(state.is_in_service());
     state.set_out_of_service(5, true);
@@ -33,9 +33,9 @@
     );
 }
 
-/// Without a successor what stands is waited for and then released; with one it goes on there.
+/// Without a successor the shutdown waits for established calls and then releases them; with one they continue there.
 #[test]
-fn successor_changes_the_end_of_a_shutdown() {
+fn successor_changes_when_the_shutdown_may_end() {
     let mut state = ServingState::default();
     state.shut_down(0);
     assert!(
@@ -67,12 +67,12 @@
     state.set_successor(false);
     assert!(
         !state.is_handing_over() && state.may_exit(MAX_SHUTDOWN_TIME, open(0, 1, 0)),
-        "it is gone, and the end is as without it"
+        "without the successor the time limits of a plain shutdown apply again"
     );
 }
 
 #[test]
-fn the_end_is_the_end() {
+fn shutdown_cannot_be_revoked() {
     let mut state = ServingState::default();
     state.set_out_of_service(1, true);
     state.shut_down(2);
@@ -81,22 +81,22 @@
     assert_eq!((state.shutting_down_since, state.is_in_service()), (Some(2), false));
 }
 
-/// SIGKILL may come 0.7 s after the longest that anyone waits, 3 s being the most that counts.
+/// SIGKILL may come 0.7 s after the longest time that a caller waits, of which at most 3 s count.
 #[test]
-fn the_end_comes_in_time_for_those_who_wait() {
-    const LAST_WORDS: Micros = 170_000;
-    for patience in [50_000, 400_000, 1_400_000, 2_999_000, 3_000_000, 9_000_000] {
-        let mut state = ServingState::new(patience);
+fn shutdown_ends_before_sigkill_for_every_longest_wait() {
+    const FLUSH_TIME: Micros = 170_000;
+    for max_wait in [50_000, 400_000, 1_400_000, 2_999_000, 3_000_000, 9_000_000] {
+        let mut state = ServingState::new(max_wait);
         state.shut_down(0);
-        let killed = patience.min(MAX_SHUTDOWN_TIME) + 700_000;
-        assert!(state.may_exit(killed - LAST_WORDS, open(1, 1, 1)), "{patience}");
+        let sigkill_at = max_wait.min(MAX_SHUTDOWN_TIME) + 700_000;
+        assert!(state.may_exit(sigkill_at - FLUSH_TIME, open(1, 1, 1)), "{max_wait}");
         assert!(
-            !state.may_exit(patience.min(MAX_SHUTDOWN_TIME) - 1, open(0, 1, 0)),
-            "{patience}: what stands may go on"
+            !state.may_exit(max_wait.min(MAX_SHUTDOWN_TIME) - 1, open(0, 1, 0)),
+            "{max_wait}: an established call may continue"
         );
         assert!(
-            !state.may_exit(patience.min(MAX_SHUTDOWN_TIME), open(1, 0, 0)),
-            "{patience}: what is open a little longer"
+            !state.may_exit(max_wait.min(MAX_SHUTDOWN_TIME), open(1, 0, 0)),
+            "{max_wait}: a pending call may continue a little longer"
         );
     }
 }
--- a/src/operate/tests.rs
+++ b/src/operate/tests.rs
@@ -1,4 +1,4 @@
-//! What the admin endpoint answers.
+//! Responses of the admin endpoint.
 
 use rstest::rstest;
 
@@ -26,49 +26,49 @@
 
 #[rstest]
 #[case::unknown("GET", "/", 404, None)]
-#[case::under_a_call("GET", "/control/ready/now", 404, None)]
-#[case::asked_as_an_order("PUT", "/control/ready", 405, Some("GET, HEAD"))]
-#[case::order_as_a_question("GET", "/control/out-of-service", 405, Some("PUT"))]
+#[case::path_below_an_endpoint("GET", "/control/ready/now", 404, None)]
+#[case::put_on_a_readable_path("PUT", "/control/ready", 405, Some("GET, HEAD"))]
+#[case::get_on_a_writable_path("GET", "/control/out-of-service", 405, Some("PUT"))]
 #[case::post("POST", "/control/in-service", 405, Some("PUT"))]
-fn refuses_what_is_no_call(
+fn unknown_paths_and_wrong_methods_are_refused(
     #[case] method: &str,
     #[case] path: &str,
     #[case] status: u16,
     #[case] allow: Option<&str>,
 ) {
-    let answer = AdminService::new(0).handle_request(method, path);
-    assert_eq!((answer.status, answer.allow), (status, allow));
+    let response = AdminService::new(0).handle_request(method, path);
+    assert_eq!((response.status, response.allow), (status, allow));
 }
 
 #[test]
 fn is_ready_when_all_frontends_are() {
     let service = AdminService::new(2);
-    let ask = || service.handle_request("GET", "/control/ready").status;
-    let (one, two) = (Rc::new(StubFrontend(Cell::new(true))), Rc::new(StubFrontend(Cell::new(true))));
+    let readiness_status = || service.handle_request("GET", "/control/ready").status;
+    let (first, second) = (Rc::new(StubFrontend(Cell::new(true))), Rc::new(StubFrontend(Cell::new(true))));
     let as_status = |frontend: &Rc<StubFrontend>| -> Weak<dyn FrontendStatus> {
         Rc::downgrade(&(frontend.clone() as Rc<dyn FrontendStatus>))
     };
-    service.register_frontend(as_status(&one));
-    assert_eq!(ask(), 503, "one frontend is still to come");
-    service.register_frontend(as_status(&two));
-    assert_eq!(ask(), 200);
-    two.0.set(false);
-    assert_eq!(ask(), 503);
+    service.register_frontend(as_status(&first));
+    assert_eq!(readiness_status(), 503, "the second frontend is not registered yet");
+    service.register_frontend(as_status(&second));
+    assert_eq!(readiness_status(), 200);
+    second.0.set(false);
+    assert_eq!(readiness_status(), 503);
     assert!(service.handle_request("GET", "/control/counters").body.contains("edge_lb_in_flight 4\n"));
 }
 
 #[test]
-fn orders_are_idempotent_and_refused_after_shutdown() {
+fn service_changes_are_idempotent_and_refused_after_shutdown() {
     let service = AdminService::new(0);
-    let orders = service.watch_out_of_service();
+    let out_of_service = service.watch_out_of_service();
     for path in ["out-of-service", "out-of-service"] {
         assert_eq!(service.handle_request("PUT", &format!("/control/{path}")).status, 200);
-        assert!(*orders.borrow());
+        assert!(*out_of_service.borrow());
     }
     assert_eq!(service.handle_request("PUT", "/control/in-service").status, 200);
-    assert!(!*orders.borrow());
+    assert!(!*out_of_service.borrow());
     service.handle_request("PUT", "/control/out-of-service");
     service.shut_down();
     assert_eq!(service.handle_request("PUT", "/control/in-service").status, 409);
-    assert!(*orders.borrow());
+    assert!(*out_of_service.borrow());
 }
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The simulator's adapter, over a pipe.
+//! The simulator adapter, run as a process with its input and output on pipes.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -11,10 +11,10 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("starts");
-    // The adapter may stop reading at a bad line; what it says is what counts.
+        .expect("the adapter starts");
+    // The adapter exits at an invalid line without reading the rest, so a failed write is ignored.
     let _ = child.stdin.take().unwrap().write_all(input.as_bytes());
-    child.wait_with_output().expect("ends")
+    child.wait_with_output().expect("the adapter exits")
 }
 
 fn profile() -> Value {
@@ -48,16 +48,16 @@
 
 fn replies(out: &Output) -> Vec<Value> {
     let text = String::from_utf8(out.stdout.clone()).unwrap();
-    text.lines().map(|l| serde_json::from_str(l).expect("a reply a line")).collect()
+    text.lines().map(|l| serde_json::from_str(l).expect("each line is a JSON reply")).collect()
 }
 
 fn dispatches(reply: &Value, front: u64) -> Vec<Value> {
-    let acts = reply["actions"].as_array().unwrap();
-    acts.iter().filter(|a| a["dispatch"]["front"] == front).cloned().collect()
+    let actions = reply["actions"].as_array().unwrap();
+    actions.iter().filter(|a| a["dispatch"]["front"] == front).cloned().collect()
 }
 
 #[test]
-fn a_call_is_sent_and_stands() {
+fn call_is_dispatched_and_established() {
     let mut msgs = begin(3);
     msgs.push(query(3, 17));
     let input = batch(1, 1_000_000, json!([]))
@@ -77,17 +77,17 @@
         );
     let out = run(&input);
     assert!(out.status.success() && out.stderr.is_empty(), "{}", String::from_utf8_lossy(&out.stderr));
-    let got = replies(&out);
-    assert_eq!(got.iter().map(|r| r["frame"].as_u64().unwrap()).collect::<Vec<_>>(), [1, 2, 3, 4]);
-    let sent = dispatches(&got[1], 3);
-    assert_eq!(sent.len(), 1);
-    assert_eq!(sent[0]["dispatch"]["request-id"], 17);
-    assert_eq!(sent[0]["dispatch"]["server"], "server.a");
-    assert_eq!(sent[0]["dispatch"]["allow-for-us"], 3_000_000);
+    let parsed = replies(&out);
+    assert_eq!(parsed.iter().map(|r| r["frame"].as_u64().unwrap()).collect::<Vec<_>>(), [1, 2, 3, 4]);
+    let dispatched = dispatches(&parsed[1], 3);
+    assert_eq!(dispatched.len(), 1);
+    assert_eq!(dispatched[0]["dispatch"]["request-id"], 17);
+    assert_eq!(dispatched[0]["dispatch"]["server"], "server.a");
+    assert_eq!(dispatched[0]["dispatch"]["allow-for-us"], 3_000_000);
 }
 
 #[test]
-fn every_message_of_the_wire_is_taken() {
+fn every_kind_of_message_is_accepted() {
     let mut msgs = begin(1);
     msgs.push(query(1, 5));
     msgs.push(json!({"peers-known": {"front": 1, "scope": "unavailable", "gen": 1, "ref": 9}}));
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn actions_do_not_depend_on_the_company() {
+fn actions_do_not_depend_on_other_gatekeepers() {
     let mut alone = begin(2);
     alone.push(query(2, 8));
     let mut together = begin(1);
@@ -118,35 +118,35 @@
 }
 
 #[test]
-fn end_of_input_is_a_clean_exit() {
+fn adapter_exits_successfully_at_the_end_of_input() {
     let out = run("");
     assert!(out.status.success() && out.stdout.is_empty() && out.stderr.is_empty());
 }
 
 #[test]
-fn malformed_input_gets_one_plain_line() {
-    let odd = |m: Value| batch(4, 5, json!([m]));
-    let begun = |m: Value| {
+fn malformed_input_is_reported_in_one_line() {
+    let single = |m: Value| batch(4, 5, json!([m]));
+    let after_begin = |m: Value| {
         let mut msgs = begin(1);
         msgs.push(m);
         batch(4, 5, json!(msgs))
     };
     let inbox = json!({"inbox": {"front": 1, "origin-peer": 2, "msg": "??"}});
     let list = json!({"peers-known": {"front": 1, "scope": "update", "gen": 2, "ref": 12}});
-    for (input, word) in [
+    for (input, expected) in [
         ("nonsense\n".to_string(), "not a batch"),
         ("{\"clock-us\":5}\n".to_string(), "missing field"),
-        (odd(json!({"surprise": {"front": 1}})), "surprise"),
-        (odd(json!({"aborted": {"front": 1}})), "request-id"),
-        (odd(json!({"killed": {"front": 4}})), "unknown front 4"),
-        (begun(list), "unknown server list 12"),
-        (begun(inbox), "bad base64"),
+        (single(json!({"surprise": {"front": 1}})), "surprise"),
+        (single(json!({"aborted": {"front": 1}})), "request-id"),
+        (single(json!({"killed": {"front": 4}})), "unknown front 4"),
+        (after_begin(list), "unknown server list 12"),
+        (after_begin(inbox), "bad base64"),
     ] {
         let out = run(&input);
-        let said = String::from_utf8_lossy(&out.stderr);
+        let message = String::from_utf8_lossy(&out.stderr);
         assert!(!out.status.success(), "{input}");
-        assert!(out.stdout.is_empty(), "nothing but replies on standard output: {input}");
-        assert_eq!(said.lines().count(), 1, "{said}");
-        assert!(said.contains(word) && !said.contains("panicked"), "{word}: {said}");
+        assert!(out.stdout.is_empty(), "standard output must contain replies only: {input}");
+        assert_eq!(message.lines().count(), 1, "{message}");
+        assert!(message.contains(expected) && !message.contains("panicked"), "{expected}: {message}");
     }
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! Stories of upgrades: a second process of the real program beside the first, between scripted peers.
+//! Upgrades: two processes of the real program run at the same address, between scripted peers.
 
 mod peers;
 
@@ -18,198 +18,220 @@
 
 const TAG: &str = "9b1f03aa5c7e2d41";
 
-/// A folder and an address of this story's own, in which and at which processes follow one another.
-struct Site {
+/// A directory and an address of the test's own, which successive processes share.
+struct Deployment {
     folder: PathBuf,
-    gate: SocketAddr,
+    address: SocketAddr,
     resolver: Resolver,
 }
 
-impl Site {
-    fn new(server: SocketAddr) -> Site {
-        let gate = listen().1; // free a moment ago; its listener is closed by now
-        let folder =
-            std::env::temp_dir().join(format!("cobaltspool-upgrade-{}-{}", std::process::id(), gate.port()));
+impl Deployment {
+    fn new(server: SocketAddr) -> Deployment {
+        let address = listen().1; // picks a free port; the listener is already closed
+        let folder = std::env::temp_dir().join(format!(
+            "cobaltspool-upgrade-{}-{}",
+            std::process::id(),
+            address.port()
+        ));
         std::fs::create_dir_all(&folder).unwrap();
-        Site { folder, gate, resolver: Resolver::new(vec![line("s-1", server, 0)]) }
+        Deployment { folder, address, resolver: Resolver::new(vec![line("s-1", server, 0)]) }
     }
 
-    /// One more process here.
+    /// Starts another process at the same address.
     fn start(&self) -> (Program, SocketAddr) {
-        Program::beside(&self.resolver, self.gate, &self.folder)
+        Program::beside(&self.resolver, self.address, &self.folder)
     }
 
     fn socket(&self) -> PathBuf {
-        self.folder.join(format!("cobaltspool-{}.upgrade", self.gate))
+        self.folder.join(format!("cobaltspool-{}.upgrade", self.address))
     }
 }
 
-impl Drop for Site {
+impl Drop for Deployment {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-fn ready(door: SocketAddr) -> bool {
-    ask(door, "GET", "/control/ready").0 == 200
+fn is_ready(admin: SocketAddr) -> bool {
+    ask(admin, "GET", "/control/ready").0 == 200
 }
 
-/// The one connection to a server on which a message comes next, of those of either process.
-fn far_of(server: &TcpListener) -> Lines {
-    Lines::accept(server)
+/// Accepts the connection, from either process, on which the next message arrives.
+fn accept_server_connection(listener: &TcpListener) -> Lines {
+    Lines::accept(listener)
 }
 
-/// Sets a call up at whoever takes it; its caller.
-fn stands(gate: SocketAddr, far: &mut Lines, tag: &str) -> Lines {
-    let mut caller = Lines::connect(gate);
+/// Sets up a call at the process that accepts the connection; returns its caller.
+fn establish_call(address: SocketAddr, server_connection: &mut Lines, tag: &str) -> Lines {
+    let mut caller = Lines::connect(address);
     caller.start(tag, 3000, 0);
-    let start = far.expect("START");
-    far.started(&start["tag"]);
+    let start = server_connection.expect("START");
+    server_connection.started(&start["tag"]);
     caller.expect("STARTED");
     caller
 }
 
-/// Two processes side by side, and what passes between the old one and the server, the new one and the server.
-struct Pair {
-    site: Site,
-    server: TcpListener,
+/// Two processes at the same address, and the connection of each to the server.
+struct ProcessPair {
+    deployment: Deployment,
+    listener: TcpListener,
     old: Program,
     new: Program,
-    old_far: Lines,
-    new_far: Lines,
-    new_door: SocketAddr,
+    old_connection: Lines,
+    new_connection: Lines,
+    new_admin: SocketAddr,
     caller: Lines,
 }
 
-/// A call stands at the old process when the new one comes to serve beside it.
-fn side_by_side() -> Pair {
-    let (server, at) = listen();
-    let site = Site::new(at);
-    let (mut old, _) = site.start();
-    let mut old_far = far_of(&server);
-    let caller = stands(site.gate, &mut old_far, TAG);
-    let (new, new_door) = site.start();
-    let new_far = far_of(&server);
-    eventually("the new process is ready", || ready(new_door).then_some(()));
+/// Establishes a call at the old process, then starts the new one and waits until both serve.
+fn start_process_pair() -> ProcessPair {
+    let (listener, server_address) = listen();
+    let deployment = Deployment::new(server_address);
+    let (mut old, _) = deployment.start();
+    let mut old_connection = accept_server_connection(&listener);
+    let caller = establish_call(deployment.address, &mut old_connection, TAG);
+    let (new, new_admin) = deployment.start();
+    let new_connection = accept_server_connection(&listener);
+    eventually("the new process is ready", || is_ready(new_admin).then_some(()));
     old.logged("a newer process serves beside this one");
-    Pair { site, server, old, new, old_far, new_far, new_door, caller }
+    ProcessPair { deployment, listener, old, new, old_connection, new_connection, new_admin, caller }
 }
 
-/// A call that stands at the old process, which then gives way to the new one and is gone.
-fn handed_over() -> (Site, TcpListener, Program, Lines) {
-    let Pair { site, server, mut old, new, new_far: far, mut caller, .. } = side_by_side();
+/// Establishes a call at the old process, then completes the upgrade: the old process exits, and the new one takes
+/// over.
+fn complete_handover() -> (Deployment, TcpListener, Program, Lines) {
+    let ProcessPair {
+        deployment, listener, mut old, new, new_connection: server_connection, mut caller, ..
+    } = start_process_pair();
     old.terminate();
     assert!(old.ended().success());
-    assert_eq!(caller.text(), "", "its connection has ended, and the call was not released");
-    (site, server, new, far)
+    assert_eq!(caller.text(), "", "the connection must close without a release of the call");
+    (deployment, listener, new, server_connection)
 }
 
 #[test]
-fn a_call_that_stands_is_released_by_its_caller_at_the_new_process() {
-    let (site, _server, _new, mut far) = handed_over();
-    let mut caller = Lines::connect(site.gate);
+fn established_call_is_released_by_its_caller_at_the_new_process() {
+    let (deployment, _listener, _new, mut server_connection) = complete_handover();
+    let mut caller = Lines::connect(deployment.address);
     caller.finish(&json!(TAG), 16, json!({}));
     caller.expect("FINISHED");
-    let over = far.expect("FINISH");
-    assert_eq!((&over["tag"], &over["rc"]), (&json!(TAG), &json!(16)));
+    let finish = server_connection.expect("FINISH");
+    assert_eq!((&finish["tag"], &finish["rc"]), (&json!(TAG), &json!(16)));
 }
 
 #[test]
-fn a_call_that_stands_is_ended_by_its_server_at_the_new_process() {
-    let (site, _server, _new, mut far) = handed_over();
-    far.finish(&json!(TAG), 16, json!({}));
-    far.expect("FINISHED");
-    let over = Lines::connect(site.gate).expect("FINISH");
-    assert_eq!((&over["tag"], &over["rc"]), (&json!(TAG), &json!(16)));
+fn established_call_is_ended_by_its_server_at_the_new_process() {
+    let (deployment, _listener, _new, mut server_connection) = complete_handover();
+    server_connection.finish(&json!(TAG), 16, json!({}));
+    server_connection.expect("FINISHED");
+    let finish = Lines::connect(deployment.address).expect("FINISH");
+    assert_eq!((&finish["tag"], &finish["rc"]), (&json!(TAG), &json!(16)));
 }
 
-/// A set-up, the release of a call that stands, and SIGTERM are all there before the old process may run: the set-up gets its
-/// one answer there and its call goes on at the new process, and the release is heard once.
+/// A set-up, the release of an established call, and SIGTERM all arrive before the old process runs again. The old
+/// process answers the set-up once, the new process continues that call, and the server receives each release once.
 #[rstest]
-fn a_set_up_and_a_release_cross_the_hand_over(#[values(true, false)] stop_first: bool) {
-    let other = "9b1f03aa5c7e2d42";
-    let Pair { site, server: _server, mut old, new: _new, mut old_far, mut new_far, mut caller, .. } =
-        side_by_side();
+fn set_up_and_release_during_the_hand_over_are_handled_once(#[values(true, false)] stop_first: bool) {
+    let other_tag = "9b1f03aa5c7e2d42";
+    let ProcessPair {
+        deployment,
+        listener: _listener,
+        mut old,
+        new: _new,
+        mut old_connection,
+        mut new_connection,
+        mut caller,
+        ..
+    } = start_process_pair();
     old.crossed(|| {
         if stop_first {
             old.terminate();
         }
-        caller.start(other, 3000, 0);
+        caller.start(other_tag, 3000, 0);
         caller.finish(&json!(TAG), 16, json!({}));
         if !stop_first {
             old.terminate();
         }
     });
     caller.expect("FINISHED");
-    old_far.until("START", other);
-    old_far.started(&json!(other));
-    assert_eq!(caller.expect("STARTED")["tag"], other);
-    assert_eq!(caller.text(), "", "its connection has ended, and the call was not released");
+    old_connection.until("START", other_tag);
+    old_connection.started(&json!(other_tag));
+    assert_eq!(caller.expect("STARTED")["tag"], other_tag);
+    assert_eq!(caller.text(), "", "the connection must close without a release of the call");
     assert!(old.ended().success());
-    let mut caller = Lines::connect(site.gate);
-    caller.finish(&json!(other), 16, json!({}));
+    let mut caller = Lines::connect(deployment.address);
+    caller.finish(&json!(other_tag), 16, json!({}));
     caller.expect("FINISHED");
     let mut releases = Vec::new();
-    while let Some(message) = old_far.next_message() {
+    while let Some(message) = old_connection.next_message() {
         releases.push(message);
     }
-    while releases.last().is_none_or(|message| message["tag"] != other) {
-        releases.push(new_far.hear());
+    while releases.last().is_none_or(|message| message["tag"] != other_tag) {
+        releases.push(new_connection.hear());
     }
     releases.retain(|message| message["verb"] == "FINISH");
-    let told = |tag: &str| releases.iter().filter(|message| message["tag"] == tag).count();
-    assert_eq!((told(TAG), told(other)), (1, 1), "{releases:?}");
+    let release_count = |tag: &str| releases.iter().filter(|message| message["tag"] == tag).count();
+    assert_eq!((release_count(TAG), release_count(other_tag)), (1, 1), "{releases:?}");
 }
 
-/// While both run, words on a call that the other has find their way.
+/// While both processes run, a message about a call that belongs to the other process is forwarded to it.
 #[rstest]
-#[case::the_caller_ends_it(true)]
-#[case::the_server_ends_it(false)]
-fn a_word_that_reaches_the_other_process_finds_its_call(#[case] caller_ends: bool) {
-    let Pair { site, old: _old, new: _new, old_far: mut far, new_far: mut other_far, mut caller, .. } =
-        side_by_side();
+#[case::released_by_caller(true)]
+#[case::ended_by_server(false)]
+fn message_at_the_wrong_process_is_forwarded_to_the_right_one(#[case] caller_ends: bool) {
+    let ProcessPair {
+        deployment,
+        old: _old,
+        new: _new,
+        old_connection: mut server_connection,
+        new_connection: mut other_connection,
+        mut caller,
+        ..
+    } = start_process_pair();
     if caller_ends {
-        // Connections go to either process by chance; all but its own end up saying the same.
+        // The kernel assigns each connection to either process; whichever gets it, the server must receive the release.
         for _ in 0..8 {
-            Lines::connect(site.gate).finish(&json!(TAG), 16, json!({}));
+            Lines::connect(deployment.address).finish(&json!(TAG), 16, json!({}));
         }
-        assert_eq!(far.expect("FINISH")["rc"], 16);
+        assert_eq!(server_connection.expect("FINISH")["rc"], 16);
     } else {
-        other_far.finish(&json!(TAG), 16, json!({}));
+        other_connection.finish(&json!(TAG), 16, json!({}));
         assert_eq!(caller.expect("FINISH")["rc"], 16);
     }
 }
 
-/// Whatever is found where the old process should be, the new one starts and serves.
+/// The new process starts and serves whatever it receives on the socket of the old process.
 #[rstest]
-#[case::nothing_said(b"", true)]
-#[case::torn(b"{\"say\":\"hello\",\"version\":1,\"seq\":1}\n{\"say\":\"serv", true)]
-#[case::killed_in_the_middle(b"{\"say\":\"hello\",\"version\":1,\"seq\":1}\n{\"say\":\"serv", false)]
+#[case::no_message(b"", true)]
+#[case::incomplete(b"{\"say\":\"hello\",\"version\":1,\"seq\":1}\n{\"say\":\"serv", true)]
+#[case::closed_while_incomplete(b"{\"say\":\"hello\",\"version\":1,\"seq\":1}\n{\"say\":\"serv", false)]
 #[case::other_version(b"{\"say\":\"hello\",\"version\":99,\"seq\":1}\n", true)]
-#[case::noise(b"\xff\x00\xfe\n\n\n", true)]
-fn a_broken_hand_over_keeps_nobody_from_starting(#[case] words: &'static [u8], #[case] stays: bool) {
-    let (server, at) = listen();
-    let site = Site::new(at);
-    let old = UnixListener::bind(site.socket()).unwrap();
-    let speaks = thread::spawn(move || {
+#[case::invalid_bytes(b"\xff\x00\xfe\n\n\n", true)]
+fn new_process_starts_despite_an_invalid_hand_over(#[case] bytes: &'static [u8], #[case] stays_open: bool) {
+    let (listener, server_address) = listen();
+    let deployment = Deployment::new(server_address);
+    let old = UnixListener::bind(deployment.socket()).unwrap();
+    let old_process = thread::spawn(move || {
         let (mut stream, _) = old.accept().unwrap();
-        stream.write_all(words).unwrap();
-        stays.then_some(stream)
+        stream.write_all(bytes).unwrap();
+        stays_open.then_some(stream)
     });
-    let (_new, door) = site.start();
-    let _held = speaks.join().unwrap();
-    let mut far = far_of(&server);
-    eventually("it is ready", || ready(door).then_some(()));
-    stands(site.gate, &mut far, TAG);
+    let (_new, admin) = deployment.start();
+    let _old_stream = old_process.join().unwrap();
+    let mut server_connection = accept_server_connection(&listener);
+    eventually("the process is ready", || is_ready(admin).then_some(()));
+    establish_call(deployment.address, &mut server_connection, TAG);
 }
 
-/// What the old process knows to drain is no fresh server to the new one, whatever its own list still says.
+/// The new process must not send calls to a server that the old process knows to be draining, even if its own endpoint
+/// list does not show the drain yet.
 #[test]
-fn a_drain_that_the_old_process_knows_of_holds_for_the_new_one() {
-    let (_server, at) = listen();
-    let site = Site::new(at);
-    let old = UnixListener::bind(site.socket()).unwrap();
-    let speaks = thread::spawn(move || {
+fn drain_known_to_the_old_process_applies_to_the_new_one() {
+    let (_listener, server_address) = listen();
+    let deployment = Deployment::new(server_address);
+    let old = UnixListener::bind(deployment.socket()).unwrap();
+    let old_process = thread::spawn(move || {
         let (mut stream, _) = old.accept().unwrap();
         stream
             .write_all(
@@ -219,98 +241,109 @@
             .unwrap();
         stream
     });
-    let (_new, door) = site.start();
-    let _held = speaks.join().unwrap();
-    let mut caller = Lines::connect(site.gate);
+    let (_new, admin) = deployment.start();
+    let _old_stream = old_process.join().unwrap();
+    let mut caller = Lines::connect(deployment.address);
     caller.start(TAG, 3000, 0);
-    assert_eq!(caller.expect("FINISH")["rc"], 34, "its only server drains");
-    let (_, figures) = ask(door, "GET", "/control/counters");
+    assert_eq!(caller.expect("FINISH")["rc"], 34, "the only server is draining");
+    let (_, counters) = ask(admin, "GET", "/control/counters");
     assert!(
-        figures.contains("edge_lb_attempts_total{class=\"check-setup\"} 0\n"),
-        "none went there: {figures}"
+        counters.contains("edge_lb_attempts_total{class=\"check-setup\"} 0\n"),
+        "no attempt must be sent: {counters}"
     );
 }
 
-/// A word on a call that is on its way to the new process comes back once, after the call.
+/// A message about a call that is being transferred to the new process is returned once, after the call itself.
 #[test]
-fn a_word_that_overtakes_its_call_is_sent_back() {
-    let (server, at) = listen();
-    let site = Site::new(at);
-    let (mut old, _) = site.start();
-    let _caller = stands(site.gate, &mut far_of(&server), TAG);
-    let mut newer = UnixStream::connect(site.socket()).unwrap();
+fn message_that_overtakes_its_call_is_returned() {
+    let (listener, server_address) = listen();
+    let deployment = Deployment::new(server_address);
+    let (mut old, _) = deployment.start();
+    let _caller = establish_call(deployment.address, &mut accept_server_connection(&listener), TAG);
+    let mut newer = UnixStream::connect(deployment.socket()).unwrap();
     newer.set_read_timeout(Some(PATIENCE)).unwrap();
     newer.write_all(b"{\"say\":\"serving\"}\n").unwrap();
     old.logged("a newer process serves beside this one");
     old.terminate();
-    let mut words = BufReader::new(newer.try_clone().unwrap()).lines().map(|word| word.unwrap());
-    let mut next = |what: &str| words.find(|word| word.contains(what)).unwrap_or_else(|| panic!("no {what}"));
+    let mut lines = BufReader::new(newer.try_clone().unwrap()).lines().map(|message| message.unwrap());
+    let mut next =
+        |what: &str| lines.find(|message| message.contains(what)).unwrap_or_else(|| panic!("no {what}"));
     assert!(next("standing").contains(TAG));
-    let word = format!("{{\"say\":\"caller_ends\",\"tag\":\"{TAG}\"}}");
-    newer.write_all(format!("{word}\n").as_bytes()).unwrap();
-    assert_eq!(next("caller_ends"), word);
+    let message = format!("{{\"say\":\"caller_ends\",\"tag\":\"{TAG}\"}}");
+    newer.write_all(format!("{message}\n").as_bytes()).unwrap();
+    assert_eq!(next("caller_ends"), message);
 }
 
-/// A socket that a killed process has left, and a folder in which there can be none.
+/// Without a hand-over the new process starts alone: on a stale socket of a killed process, and without the socket's
+/// directory.
 #[rstest]
 #[case::stale_socket(true)]
 #[case::no_folder(false)]
-fn a_missing_hand_over_keeps_nobody_from_starting(#[case] stale: bool) {
-    let (_server, at) = listen();
-    let site = Site::new(at);
-    if stale {
-        drop(UnixListener::bind(site.socket()).unwrap());
+fn new_process_starts_without_a_hand_over(#[case] is_stale: bool) {
+    let (_listener, server_address) = listen();
+    let deployment = Deployment::new(server_address);
+    if is_stale {
+        drop(UnixListener::bind(deployment.socket()).unwrap());
     } else {
-        std::fs::remove_dir_all(&site.folder).unwrap();
+        std::fs::remove_dir_all(&deployment.folder).unwrap();
     }
-    let (_new, door) = site.start();
-    eventually("it is ready", || ready(door).then_some(()));
+    let (_new, admin) = deployment.start();
+    eventually("the process is ready", || is_ready(admin).then_some(()));
 }
 
-/// Either process may be killed while both run; the other goes on alone, and a third may follow it.
+/// Either process may be killed while both run. The other continues alone and can be succeeded by a third.
 #[rstest]
-#[case::the_old_one(true)]
-#[case::the_new_one(false)]
-fn the_other_goes_on_when_one_is_killed(#[case] kill_old: bool) {
-    let Pair { site, server: _server, mut old, mut new, old_far, new_far, new_door, mut caller } =
-        side_by_side();
+#[case::old_process(true)]
+#[case::new_process(false)]
+fn one_process_continues_when_the_other_is_killed(#[case] kill_old: bool) {
+    let ProcessPair {
+        deployment,
+        listener: _listener,
+        mut old,
+        mut new,
+        old_connection,
+        new_connection,
+        new_admin,
+        mut caller,
+    } = start_process_pair();
     caller.finish(&json!(TAG), 16, json!({}));
     caller.expect("FINISHED");
-    let (left, mut far) = match kill_old {
+    let (survivor, mut server_connection) = match kill_old {
         true => {
             old.kill();
-            assert!(ready(new_door));
-            (&mut new, new_far)
+            assert!(is_ready(new_admin));
+            (&mut new, new_connection)
         }
         false => {
             new.kill();
-            (&mut old, old_far)
+            (&mut old, old_connection)
         }
     };
-    left.logged("the other process at this address is gone");
+    survivor.logged("the other process at this address is gone");
     if !kill_old {
-        far.expect("FINISH"); // of the call before
+        server_connection.expect("FINISH"); // for the previous call
     }
-    stands(site.gate, &mut far, "9b1f03aa5c7e2d42");
+    establish_call(deployment.address, &mut server_connection, "9b1f03aa5c7e2d42");
     if kill_old {
-        let (_third, third_door) = site.start();
-        eventually("a third process is ready", || ready(third_door).then_some(()));
-        left.logged("a newer process serves beside this one");
+        let (_third, third_admin) = deployment.start();
+        eventually("a third process is ready", || is_ready(third_admin).then_some(()));
+        survivor.logged("a newer process serves beside this one");
     }
 }
 
-/// A server that answers every set-up at once, and what was wrong with what it got.
+/// What a server that answers every set-up at once has received.
 #[derive(Default)]
-struct Server {
-    /// Names of set-ups that stand, and by how many attempts they came so far.
-    stand: HashSet<String>,
-    tries: HashMap<String, u32>,
-    second_copies: u64,
+struct ServerCounters {
+    /// Tags of the established calls.
+    established: HashSet<String>,
+    /// Number of set-up attempts by tag.
+    attempts: HashMap<String, u32>,
+    duplicate_attempts: u64,
     released: u64,
 }
 
-fn serve(listener: TcpListener) -> Arc<Mutex<Server>> {
-    let state = Arc::new(Mutex::new(Server::default()));
+fn run_server(listener: TcpListener) -> Arc<Mutex<ServerCounters>> {
+    let state = Arc::new(Mutex::new(ServerCounters::default()));
     let shared = state.clone();
     thread::spawn(move || {
         while let Ok((stream, _)) = listener.accept() {
@@ -323,12 +356,12 @@
                     let mut state = state.lock().unwrap();
                     let answer = match message["verb"].as_str().unwrap() {
                         "START" => {
-                            *state.tries.entry(tag.clone()).or_default() += 1;
-                            state.second_copies += u64::from(!state.stand.insert(tag.clone()));
+                            *state.attempts.entry(tag.clone()).or_default() += 1;
+                            state.duplicate_attempts += u64::from(!state.established.insert(tag.clone()));
                             json!({"verb": "STARTED", "tag": tag, "opts": {}, "blob": "answer"})
                         }
                         "FINISH" => {
-                            state.released += u64::from(state.stand.remove(&tag));
+                            state.released += u64::from(state.established.remove(&tag));
                             json!({"verb": "FINISHED", "tag": tag, "opts": {}})
                         }
                         "ECHO" => json!({"verb": "ECHOED", "tag": tag, "opts": {}, "rc": 1}),
@@ -344,14 +377,14 @@
     state
 }
 
-/// What callers met.
+/// The results that the callers observed.
 #[derive(Default)]
-struct Met {
+struct CallerCounters {
     answered: AtomicU64,
     refused: AtomicU64,
-    /// Requests on a connection that was refused, or reset, or ended with them unread.
-    at_the_door: AtomicU64,
-    /// Those that met that twice, or got what was no answer.
+    /// Requests whose connection was refused, reset, or closed before the request was read.
+    connection_errors: AtomicU64,
+    /// Requests that failed like that twice or got an unexpected answer.
     lost: AtomicU64,
     stop: AtomicBool,
 }
@@ -363,21 +396,25 @@
     ended
 }
 
-/// A message and the first line that names its call in answer; `None`: the connection is of no use.
-fn exchange(stream: &mut Option<BufReader<TcpStream>>, gate: SocketAddr, message: &Value) -> Option<Value> {
-    // A caller sees that its connection has been closed while it had nothing to say.
-    *stream = stream.take().filter(|held| !has_ended(held.get_ref()));
+/// Sends a message and returns the first answer with its tag; `None` if the connection failed.
+fn exchange(
+    stream: &mut Option<BufReader<TcpStream>>,
+    address: SocketAddr,
+    message: &Value,
+) -> Option<Value> {
+    // A caller notices that its idle connection has been closed.
+    *stream = stream.take().filter(|connection| !has_ended(connection.get_ref()));
     if stream.is_none() {
-        let new = TcpStream::connect(gate).ok()?;
+        let new = TcpStream::connect(address).ok()?;
         new.set_nodelay(true).ok()?;
         new.set_read_timeout(Some(PATIENCE)).ok()?;
         *stream = Some(BufReader::new(new));
     }
-    let held = stream.as_mut()?;
-    held.get_mut().write_all(format!("{message}\n").as_bytes()).ok()?;
+    let connection = stream.as_mut()?;
+    connection.get_mut().write_all(format!("{message}\n").as_bytes()).ok()?;
     loop {
         let mut line = String::new();
-        if held.read_line(&mut line).ok()? == 0 {
+        if connection.read_line(&mut line).ok()? == 0 {
             return None;
         }
         let answer: Value = serde_json::from_str(&line).ok()?;
@@ -387,10 +424,10 @@
     }
 }
 
-/// Sets calls up and releases them, one after the other, on a connection that it keeps while it can.
-fn call_on(gate: SocketAddr, met: &Met, first: u64) {
+/// Sets up and releases calls one after the other, on one connection as long as it stays open.
+fn run_caller(address: SocketAddr, counters: &CallerCounters, first: u64) {
     let mut stream = None;
-    for n in (first..).take_while(|_| !met.stop.load(SeqCst)) {
+    for n in (first..).take_while(|_| !counters.stop.load(SeqCst)) {
         let tag = format!("{n:016x}");
         let start = json!({"verb": "START", "tag": tag, "blob": "v=0\r\n", "opts": {"class": "check-setup",
             "left": "5000", "key": tag, "extras": "dest:0;width:1;via:-1"}});
@@ -398,119 +435,129 @@
         for message in [start, finish] {
             let mut answer = None;
             for _ in 0..2 {
-                answer = exchange(&mut stream, gate, &message);
+                answer = exchange(&mut stream, address, &message);
                 if answer.is_some() {
                     break;
                 }
                 stream = None;
-                met.at_the_door.fetch_add(1, SeqCst);
+                counters.connection_errors.fetch_add(1, SeqCst);
             }
             match answer.as_ref().map(|a| a["verb"].as_str().unwrap_or_default()) {
-                Some("STARTED" | "FINISHED") => drop(met.answered.fetch_add(1, SeqCst)),
-                // Turned away, to come again elsewhere: a caller stays away for as long as it is told.
+                Some("STARTED" | "FINISHED") => drop(counters.answered.fetch_add(1, SeqCst)),
+                // Rejected with a retry-after, which the caller obeys.
                 Some("FINISH") if answer.as_ref().is_some_and(|a| a["rc"] == 34) => {
                     let wait =
                         answer.as_ref().and_then(|a| a["opts"]["wait"].as_str()?.parse().ok()).unwrap_or(0);
-                    met.refused.fetch_add(1, SeqCst);
+                    counters.refused.fetch_add(1, SeqCst);
                     thread::sleep(Duration::from_millis(wait));
                     break;
                 }
                 _ => {
-                    eprintln!("lost: {message} got {answer:?}");
-                    met.lost.fetch_add(1, SeqCst);
+                    eprintln!("lost: {message}, answer {answer:?}");
+                    counters.lost.fetch_add(1, SeqCst);
                 }
             }
         }
     }
 }
 
-/// Callers at work on a gatekeeper, and the server behind it.
-struct Load {
-    far: Arc<Mutex<Server>>,
-    met: Arc<Met>,
+/// Callers that load a gatekeeper, and the server behind it.
+struct LoadGenerator {
+    server: Arc<Mutex<ServerCounters>>,
+    counters: Arc<CallerCounters>,
     callers: Vec<thread::JoinHandle<()>>,
 }
 
-impl Load {
-    fn on(gate: SocketAddr, far: Arc<Mutex<Server>>) -> Load {
-        let met = Arc::new(Met::default());
+impl LoadGenerator {
+    fn start(address: SocketAddr, server: Arc<Mutex<ServerCounters>>) -> LoadGenerator {
+        let counters = Arc::new(CallerCounters::default());
         let caller = |n: u64| {
-            let met = met.clone();
-            thread::spawn(move || call_on(gate, &met, n << 32))
+            let counters = counters.clone();
+            thread::spawn(move || run_caller(address, &counters, n << 32))
         };
-        Load { far, callers: (0..6).map(caller).collect(), met }
+        LoadGenerator { server, callers: (0..6).map(caller).collect(), counters }
     }
 
-    /// Waits until calls have gone on for a while.
-    fn goes_on(&self) {
-        let before = self.met.answered.load(SeqCst);
-        eventually("calls go on", || (self.met.answered.load(SeqCst) > before + 100).then_some(()));
+    /// Waits until another 100 requests have been answered.
+    fn wait_for_progress(&self) {
+        let before = self.counters.answered.load(SeqCst);
+        eventually("further requests are answered", || {
+            (self.counters.answered.load(SeqCst) > before + 100).then_some(())
+        });
     }
 
-    /// Ends it and says how many met a connection that ended; fails if anything was lost, sent twice or stays taken.
-    fn ends(self) -> u64 {
-        self.met.stop.store(true, SeqCst);
+    /// Stops the callers and returns the number of connection errors. Fails if a request was lost, a set-up was sent
+    /// twice, or a call was not released.
+    fn finish(self) -> u64 {
+        self.counters.stop.store(true, SeqCst);
         for caller in self.callers {
             caller.join().unwrap();
         }
-        // The last release is heard by its caller before it has reached the server.
-        eventually("nothing stays taken", || self.far.lock().unwrap().stand.is_empty().then_some(()));
-        let (far, met) = (self.far.lock().unwrap(), &self.met);
-        let [answered, refused, door, lost] =
-            [&met.answered, &met.refused, &met.at_the_door, &met.lost].map(|c| c.load(SeqCst));
+        // The caller gets the answer to its last release before the release reaches the server.
+        eventually("all calls are released", || {
+            self.server.lock().unwrap().established.is_empty().then_some(())
+        });
+        let (server, counters) = (self.server.lock().unwrap(), &self.counters);
+        let [answered, refused, connection_errors, lost] =
+            [&counters.answered, &counters.refused, &counters.connection_errors, &counters.lost]
+                .map(|c| c.load(SeqCst));
         eprintln!(
-            "{answered} requests answered, {refused} turned away, {door} met a refused, reset or unread connection, \
-             {lost} lost; {} released",
-            far.released
+            "{answered} requests answered, {refused} rejected, {connection_errors} connection errors, {lost} lost; \
+             {} calls released",
+            server.released
         );
-        assert_eq!((lost, far.second_copies), (0, 0));
-        assert_eq!(far.tries.values().filter(|tries| **tries > 1).count(), 0, "none was sent twice");
-        door
+        assert_eq!((lost, server.duplicate_attempts), (0, 0));
+        assert_eq!(
+            server.attempts.values().filter(|attempts| **attempts > 1).count(),
+            0,
+            "no set-up must be sent twice"
+        );
+        connection_errors
     }
 }
 
-/// Ten upgrades in a row under load: no request is lost, none has a second attempt out, no call stays taken.
+/// Ten consecutive upgrades under load: no request is lost, no set-up is sent twice, and every call is released.
 #[test]
-fn ten_upgrades_in_a_row_lose_nothing() {
-    let (listener, at) = listen();
-    let site = Site::new(at);
-    let (mut now, _) = site.start();
-    let load = Load::on(site.gate, serve(listener));
+fn ten_consecutive_upgrades_lose_no_call() {
+    let (listener, server_address) = listen();
+    let deployment = Deployment::new(server_address);
+    let (mut current, _) = deployment.start();
+    let load = LoadGenerator::start(deployment.address, run_server(listener));
     for _ in 0..10 {
-        load.goes_on();
-        let (new, door) = site.start();
-        eventually("the new process is ready", || ready(door).then_some(()));
-        now.logged("a newer process serves beside this one");
-        now.terminate();
-        assert!(now.ended().success());
-        now = new;
+        load.wait_for_progress();
+        let (new, admin) = deployment.start();
+        eventually("the new process is ready", || is_ready(admin).then_some(()));
+        current.logged("a newer process serves beside this one");
+        current.terminate();
+        assert!(current.ended().success());
+        current = new;
     }
-    let door = load.ends();
-    assert!(door <= 20, "more than two an upgrade met a connection that ended: {door}");
+    let connection_errors = load.finish();
+    assert!(connection_errors <= 20, "more than two connection errors per upgrade: {connection_errors}");
 }
 
-/// A drain under load: callers are turned away and nothing is left in flight; back in service all goes on; and SIGTERM in
-/// the middle of a drain ends the program as ever.
+/// During a drain under load callers are rejected until no call is in flight. Back in service, calls continue. SIGTERM
+/// during a drain still ends the program successfully.
 #[test]
-fn a_drain_under_load_loses_nothing() {
-    let (listener, at) = listen();
-    let site = Site::new(at);
-    let (mut program, door) = site.start();
-    let load = Load::on(site.gate, serve(listener));
-    load.goes_on();
-    let order = |order: &str| assert_eq!(ask(door, "PUT", &format!("/control/{order}")).0, 200);
-    order("out-of-service");
-    assert!(!ready(door));
-    eventually("all are turned away", || {
-        let (_, text) = ask(door, "GET", "/control/counters");
+fn drain_under_load_loses_no_call() {
+    let (listener, server_address) = listen();
+    let deployment = Deployment::new(server_address);
+    let (mut program, admin) = deployment.start();
+    let load = LoadGenerator::start(deployment.address, run_server(listener));
+    load.wait_for_progress();
+    let set_service = |action: &str| assert_eq!(ask(admin, "PUT", &format!("/control/{action}")).0, 200);
+    set_service("out-of-service");
+    assert!(!is_ready(admin));
+    eventually("all calls are rejected", || {
+        let (_, text) = ask(admin, "GET", "/control/counters");
         let idle = text.lines().any(|line| line == "edge_lb_in_flight 0");
-        (load.met.refused.load(SeqCst) >= 12 && idle).then_some(())
+        (load.counters.refused.load(SeqCst) >= 12 && idle).then_some(())
     });
-    order("in-service");
-    assert!(ready(door));
-    load.goes_on();
-    load.ends();
-    order("out-of-service");
+    set_service("in-service");
+    assert!(is_ready(admin));
+    load.wait_for_progress();
+    load.finish();
+    set_service("out-of-service");
     program.terminate();
     assert!(program.ended().success());
 }
