--- a/src/operate/handover.rs
+++ b/src/operate/handover.rs
@@ -88,7 +88,7 @@
     /// The old process's view of a server.
     #[serde(rename = "server")]
     Server(ServerSnapshot),
-    /// The old process has sent its whole state; the new process may begin.
+    /// The old process has sent all of its state; the new process may begin.
     #[serde(rename = "begin")]
     Begin,
     /// The new process listens and accepts clients.
--- a/src/operate/http/tests.rs
+++ b/src/operate/http/tests.rs
@@ -55,9 +55,9 @@
     #[test]
     fn fragmentation_does_not_change_the_result(text in "(GET|PUT) /[a-z]{0,9} HTTP/1.[01]\r\n([A-Za-z-]{1,9}: [ -~]{0,9}\r\n){0,3}\r\n",
                                  noise in proptest::collection::vec(any::<u8>(), 0..40)) {
-        let whole = parse_request(text.as_bytes());
+        let expected = parse_request(text.as_bytes());
         let first = (1..=text.len()).map(|n| parse_request(&text.as_bytes()[..n])).find(|r| *r != ParseResult::Incomplete);
-        prop_assert_eq!(first.unwrap_or(ParseResult::Incomplete), whole);
+        prop_assert_eq!(first.unwrap_or(ParseResult::Incomplete), expected);
         let _ = parse_request(&noise);
     }
 }
