--- a/src/bin/cobaltspool-simulator-adapter/host.rs
+++ b/src/bin/cobaltspool-simulator-adapter/gatekeeper.rs
@@ -1,4 +1,4 @@
-//! One simulated gatekeeper: its controller and its numbering of servers.
+//! A simulated gatekeeper: its controller, and the mapping between the simulator's server names and the core's ids.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -9,67 +9,68 @@
 
 use crate::error::AdapterError;
 use crate::wire::{
-    AckFirst, Act, Element, Ending, Inbox, Msg, PeersKnown, PingResult, Profile, Reminder, Reply, Scope,
+    AckFirst, Element, Ending, Inbox, InputMessage, OutputMessage, PeersKnown, PingResult, Profile, Reminder,
+    Reply, Scope,
 };
 use crate::{from_wire, to_wire};
 
 /// The server lists that the simulator has sent, by reference.
 pub type ServerLists = BTreeMap<u64, Vec<Element>>;
 
-/// A gatekeeper's controller, and the ids of the servers that its lists have named.
-pub struct Host {
+/// A gatekeeper's controller, and the ids of the servers that messages have named so far.
+pub struct SimulatedGatekeeper {
     controller: Controller,
-    ids: BTreeMap<Rc<str>, ServerId>,
-    names: Vec<Rc<str>>,
-    /// Reused between events.
+    server_ids: BTreeMap<Rc<str>, ServerId>,
+    server_names: Vec<Rc<str>>,
+    /// Buffer for the controller's actions; reused between events.
     actions: Vec<Action>,
 }
 
-impl Host {
-    /// A gatekeeper that has seen no event.
+impl SimulatedGatekeeper {
+    /// Creates a gatekeeper from its profile.
     pub fn new(profile: &Profile, random_seed: u64) -> Self {
         Self {
             controller: Controller::new(from_wire::settings(profile), random_seed),
-            ids: BTreeMap::new(),
-            names: Vec::new(),
+            server_ids: BTreeMap::new(),
+            server_names: Vec::new(),
             actions: Vec::new(),
         }
     }
 
-    /// The simulator's name of a server.
+    /// The simulator's name for a server.
     pub fn server_name(&self, server: ServerId) -> Rc<str> {
-        self.names[server.0 as usize].clone()
+        self.server_names[server.0 as usize].clone()
     }
 
-    /// Passes a message to the controller and appends its actions to `acts`.
+    /// Passes a message to the controller and appends the resulting actions to `output`.
     pub fn handle(
         &mut self,
         now: Micros,
-        message: Msg,
+        message: InputMessage,
         lists: &ServerLists,
-        acts: &mut Vec<Act>,
+        output: &mut Vec<OutputMessage>,
     ) -> Result<(), AdapterError> {
         let Some(front) = message.front() else { return Ok(()) };
         let Some(event) = self.event(message, lists)? else { return Ok(()) };
         let mut actions = std::mem::take(&mut self.actions);
         self.controller.handle(now, event, &mut actions);
-        acts.extend(actions.drain(..).map(|action| to_wire::act(front, self, action)));
+        output.extend(actions.drain(..).map(|action| to_wire::output_message(front, self, action)));
         self.actions = actions;
         Ok(())
     }
 
-    /// Translates a message; `None` if it is not an event of a controller.
-    fn event(&mut self, message: Msg, lists: &ServerLists) -> Result<Option<Event>, AdapterError> {
+    /// Converts a message to a controller event; `None` if the controller does not handle this kind of message.
+    fn event(&mut self, message: InputMessage, lists: &ServerLists) -> Result<Option<Event>, AdapterError> {
         let event = match message {
-            Msg::Begin(_) | Msg::Directory(_) | Msg::Killed(_) => return Ok(None),
-            Msg::PeersKnown(message) => self.endpoint_list(&message, lists)?,
-            Msg::Query(query) => Event::Call(from_wire::new_call(query)),
-            Msg::Inbox(inbox) => peer_message(&inbox)?,
-            Msg::Aborted(aborted) => Event::CallerGone { call: CallId(aborted.request_id) },
-            Msg::Reply(reply) => Event::AttemptEnded(self.attempt_end(&reply)),
-            Msg::PingResult(result) => self.load(&result),
-            Msg::Reminder(reminder) => timer(&reminder)?,
-            Msg::AckFirst(ack) => self.established(&ack),
+            InputMessage::Begin(_) | InputMessage::Directory(_) | InputMessage::Killed(_) => return Ok(None),
+            InputMessage::PeersKnown(message) => self.endpoint_list(&message, lists)?,
+            InputMessage::Query(query) => Event::Call(from_wire::new_call(query)),
+            InputMessage::Inbox(inbox) => peer_message(&inbox)?,
+            InputMessage::Aborted(aborted) => Event::CallerGone { call: CallId(aborted.request_id) },
+            InputMessage::Reply(reply) => Event::AttemptEnded(self.attempt_end(&reply)),
+            InputMessage::PingResult(result) => self.load(&result),
+            InputMessage::Reminder(reminder) => timer(&reminder)?,
+            InputMessage::AckFirst(ack) => self.established(&ack),
         };
         Ok(Some(event))
     }
@@ -116,15 +117,15 @@
         }
     }
 
-    /// The id of a server; a new one if it was never named.
+    /// The id of a server; assigns a new id if the name is not known yet.
     fn server_id(&mut self, name: &str) -> ServerId {
-        if let Some(id) = self.ids.get(name) {
+        if let Some(id) = self.server_ids.get(name) {
             return *id;
         }
-        let id = ServerId(self.names.len() as u32);
+        let id = ServerId(self.server_names.len() as u32);
         let name: Rc<str> = name.into();
-        self.names.push(name.clone());
-        self.ids.insert(name, id);
+        self.server_names.push(name.clone());
+        self.server_ids.insert(name, id);
         id
     }
 }
--- a/src/bin/cobaltspool-simulator-adapter/main.rs
+++ b/src/bin/cobaltspool-simulator-adapter/main.rs
@@ -1,9 +1,10 @@
-//! Runs gatekeepers inside the simulator: translates its JSON lines to the core's events and back, and decides nothing.
+//! Runs gatekeepers inside the simulator: converts its JSON lines into events of the core, and the core's actions back
+//! into JSON. It makes no decisions itself.
 #![forbid(unsafe_code)]
 
 mod error;
 mod from_wire;
-mod host;
+mod gatekeeper;
 mod to_wire;
 mod wire;
 
@@ -14,19 +15,19 @@
 use cobaltspool::Micros;
 
 use error::AdapterError;
-use host::{Host, ServerLists};
-use wire::{Act, Batch, BatchReply, Msg};
+use gatekeeper::{ServerLists, SimulatedGatekeeper};
+use wire::{Batch, BatchReply, InputMessage, OutputMessage};
 
 /// All gatekeepers of a simulation.
 #[derive(Default)]
 struct Adapter {
-    hosts: BTreeMap<u64, Host>,
+    gatekeepers: BTreeMap<u64, SimulatedGatekeeper>,
     lists: ServerLists,
 }
 
 impl Adapter {
-    /// Answers one line of input.
-    fn answer(&mut self, line: &str) -> Result<BatchReply, AdapterError> {
+    /// Processes one line of input and returns the reply.
+    fn process_line(&mut self, line: &str) -> Result<BatchReply, AdapterError> {
         let Batch { clock, frame, msgs } = serde_json::from_str(line)?;
         let mut actions = Vec::new();
         for (index, message) in msgs.into_iter().enumerate() {
@@ -36,35 +37,44 @@
         Ok(BatchReply { frame, actions })
     }
 
-    fn handle(&mut self, now: Micros, message: Msg, acts: &mut Vec<Act>) -> Result<(), AdapterError> {
+    fn handle(
+        &mut self,
+        now: Micros,
+        message: InputMessage,
+        output: &mut Vec<OutputMessage>,
+    ) -> Result<(), AdapterError> {
         match message {
-            Msg::Directory(list) => {
+            InputMessage::Directory(list) => {
                 self.lists.insert(list.r#ref, list.elements);
             }
-            Msg::Begin(begin) => {
-                self.hosts.insert(begin.front, Host::new(&begin.profile_data, begin.random_seed));
+            InputMessage::Begin(begin) => {
+                self.gatekeepers
+                    .insert(begin.front, SimulatedGatekeeper::new(&begin.profile_data, begin.random_seed));
             }
-            Msg::Killed(killed) => {
-                self.hosts.remove(&killed.front).ok_or(AdapterError::UnknownGatekeeper(killed.front))?;
+            InputMessage::Killed(killed) => {
+                self.gatekeepers
+                    .remove(&killed.front)
+                    .ok_or(AdapterError::UnknownGatekeeper(killed.front))?;
             }
             event => {
                 let front = event.front().unwrap_or_default();
-                let host = self.hosts.get_mut(&front).ok_or(AdapterError::UnknownGatekeeper(front))?;
-                host.handle(now, event, &self.lists, acts)?;
+                let gatekeeper =
+                    self.gatekeepers.get_mut(&front).ok_or(AdapterError::UnknownGatekeeper(front))?;
+                gatekeeper.handle(now, event, &self.lists, output)?;
             }
         }
         Ok(())
     }
 }
 
-/// Answers lines until the input ends.
+/// Processes lines until the end of the input.
 fn run() -> Result<(), AdapterError> {
     let mut adapter = Adapter::default();
     let mut line = String::new();
     let mut input = io::stdin().lock();
     let mut output = io::BufWriter::new(io::stdout().lock());
     while input.read_line(&mut line).map_err(AdapterError::Read)? > 0 {
-        let reply = adapter.answer(&line)?;
+        let reply = adapter.process_line(&line)?;
         write_reply(&mut output, &reply).map_err(AdapterError::Write)?;
         line.clear();
     }
--- a/src/bin/cobaltspool-simulator-adapter/wire.rs
+++ b/src/bin/cobaltspool-simulator-adapter/wire.rs
@@ -1,4 +1,5 @@
-//! The simulator's messages, as they stand on the pipe.
+//! The messages that the adapter exchanges with the simulator, one JSON object per line. The names of their fields and
+//! variants are the wire format.
 
 use std::rc::Rc;
 
@@ -9,13 +10,13 @@
     #[serde(rename = "clock-us")]
     pub clock: u64,
     pub frame: u64,
-    pub msgs: Vec<Msg>,
+    pub msgs: Vec<InputMessage>,
 }
 
-/// One message from the simulator.
+/// A message from the simulator.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Msg {
+pub enum InputMessage {
     Begin(Begin),
     Directory(Directory),
     PeersKnown(PeersKnown),
@@ -29,8 +30,8 @@
     AckFirst(AckFirst),
 }
 
-impl Msg {
-    /// The gatekeeper that the message is for; `None` for a server list, which is shared.
+impl InputMessage {
+    /// The gatekeeper that the message is addressed to; `None` for a server list, which all gatekeepers share.
     pub fn front(&self) -> Option<u64> {
         match self {
             Self::Directory(_) => None,
@@ -57,7 +58,7 @@
     pub profile_data: Box<Profile>,
 }
 
-/// A server list, referred to by later messages.
+/// A server list; later messages refer to it by `ref`.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Directory {
@@ -65,7 +66,7 @@
     pub elements: Vec<Element>,
 }
 
-/// A gatekeeper learns a server list.
+/// Gives a server list to a gatekeeper.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct PeersKnown {
@@ -105,7 +106,7 @@
     pub msg: String,
 }
 
-/// The caller has left.
+/// The caller has abandoned the call.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Aborted {
@@ -144,7 +145,7 @@
     pub telemetry: Telemetry,
 }
 
-/// A gatekeeper has stopped.
+/// A gatekeeper has been killed.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Killed {
@@ -237,7 +238,7 @@
     pub discovery: String,
     pub services: Vec<Service>,
     pub ceilings: Ceilings,
-    pub rules: RuleFigures,
+    pub rules: RuleParameters,
     #[serde(default)]
     pub domain: Domain,
 }
@@ -274,7 +275,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct RuleFigures {
+pub struct RuleParameters {
     #[serde(default)]
     pub answer_slack_us: u64,
     #[serde(default)]
@@ -302,12 +303,12 @@
 #[derive(Serialize)]
 pub struct BatchReply {
     pub frame: u64,
-    pub actions: Vec<Act>,
+    pub actions: Vec<OutputMessage>,
 }
 
 #[derive(Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Act {
+pub enum OutputMessage {
     #[serde(rename_all = "kebab-case")]
     Dispatch {
         front: u64,
--- a/src/platform/handover.rs
+++ b/src/platform/handover.rs
@@ -19,8 +19,8 @@
 use crate::link::{self, Outbox};
 use crate::list::ListedServer;
 use crate::operate::handover::{
-    EstablishedCall, HandoverMessage, Inheritance, InheritanceProgress, KnownLoad, KnownServer,
-    MAX_LINE_BYTES, Role, VERSION,
+    EstablishedCall, HandoverMessage, HandoverProgress, MAX_LINE_BYTES, ReceivedHandover, Role,
+    ServerSnapshot, SnapshotLoad, VERSION,
 };
 use crate::{CallId, Cause, EndpointListScope, LoadReport, Outcome, ServerStatus};
 
@@ -42,7 +42,7 @@
     pub(super) role: Role,
     outbox: Option<Rc<Outbox>>,
     /// The part of the old process's state received so far; `None` once it was applied or abandoned.
-    inheritance: Option<Inheritance>,
+    inheritance: Option<ReceivedHandover>,
     /// Notified when `inheritance` was applied or abandoned.
     inheritance_done: Rc<Notify>,
 }
@@ -91,7 +91,7 @@
         return Some(upgrade_socket);
     }
     let inheritance_done = frontend.borrow().peer_process.inheritance_done.clone();
-    frontend.borrow_mut().peer_process.inheritance = Some(Inheritance::default());
+    frontend.borrow_mut().peer_process.inheritance = Some(ReceivedHandover::default());
     tokio::task::spawn_local(run_connection(frontend.clone(), stream, Role::Newer));
     if timeout(INHERITANCE_TIMEOUT, inheritance_done.notified()).await.is_err() {
         frontend.borrow_mut().abandon_inheritance(&"the older process did not send its state in time");
@@ -122,11 +122,11 @@
             Ok((stream, _))
                 if is_same_user(&stream, &shared_path) && frontend.borrow().peer_process.outbox.is_none() =>
             {
-                frontend.borrow_mut().peer_process.role = Role::Older { is_succeeded: false };
+                frontend.borrow_mut().peer_process.role = Role::Older { successor_is_serving: false };
                 tokio::task::spawn_local(run_connection(
                     frontend.clone(),
                     stream,
-                    Role::Older { is_succeeded: false },
+                    Role::Older { successor_is_serving: false },
                 ));
                 tokio::task::yield_now().await;
             }
@@ -185,7 +185,7 @@
         for server in self.directory.servers().collect::<Vec<_>>() {
             let snapshot = self.driver.gateway.server_snapshot(server);
             let report = snapshot.last_reported_wait;
-            let message = HandoverMessage::Server(KnownServer {
+            let message = HandoverMessage::Server(ServerSnapshot {
                 server: self.directory.name(server).to_string(),
                 draining_for: snapshot.draining_since.map(|since| now.saturating_sub(since)),
                 is_ejected: snapshot.is_ejected,
@@ -204,7 +204,7 @@
         match message {
             HandoverMessage::Serving if matches!(self.peer_process.role, Role::Older { .. }) => {
                 tracing::info!("a newer process serves beside this one");
-                self.set_role(Role::Older { is_succeeded: true });
+                self.set_role(Role::Older { successor_is_serving: true });
                 self.maintain(clock::now());
             }
             HandoverMessage::Established(call) => self.adopt_call(call),
@@ -232,14 +232,14 @@
     }
 
     /// Handles the next message of the old process's state; false to end the connection.
-    fn continue_inheritance(&mut self, mut inheritance: Inheritance, message: HandoverMessage) -> bool {
+    fn continue_inheritance(&mut self, mut inheritance: ReceivedHandover, message: HandoverMessage) -> bool {
         match inheritance.handle_message(message) {
-            InheritanceProgress::Incomplete => self.peer_process.inheritance = Some(inheritance),
-            InheritanceProgress::Complete => {
+            HandoverProgress::Incomplete => self.peer_process.inheritance = Some(inheritance),
+            HandoverProgress::Complete => {
                 self.apply_inheritance(inheritance);
                 self.peer_process.inheritance_done.notify_one();
             }
-            InheritanceProgress::Refused(error) => {
+            HandoverProgress::Refused(error) => {
                 self.abandon_inheritance(&error);
                 return false;
             }
@@ -262,7 +262,7 @@
 
     /// Applies the older process's state of the servers: drains that are not in this process's list yet, servers that
     /// do not answer, and recently reported waits.
-    fn apply_inheritance(&mut self, inheritance: Inheritance) {
+    fn apply_inheritance(&mut self, inheritance: ReceivedHandover) {
         let now = clock::now();
         // Drains from an older list than this process's are ignored: the server may have returned since.
         let list_is_current = inheritance.seq.is_some_and(|seq| seq >= self.list_seq);
@@ -279,10 +279,10 @@
                 );
             }
             match known.load() {
-                Some(KnownLoad::NoAnswer) => {
+                Some(SnapshotLoad::NoAnswer) => {
                     self.feed(Input::Load { server, answered: false, load: LoadReport::default() });
                 }
-                Some(KnownLoad::Reported(load)) => self.feed(Input::Load { server, answered: true, load }),
+                Some(SnapshotLoad::Reported(load)) => self.feed(Input::Load { server, answered: true, load }),
                 None => {}
             }
         }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -21,7 +21,10 @@
     assert_eq!(read.text("note").as_deref(), Some("queue_long"));
     assert_eq!((read.number("wait"), read.number("n"), read.number("note")), (Some(250.0), Some(3.0), None));
     let load = read.load_report();
-    assert_eq!((load.free_lines, load.total_lines, load.queueing_delay_ms), (Some(12.0), Some(40.0), Some(7.5)));
+    assert_eq!(
+        (load.free_lines, load.total_lines, load.queueing_delay_ms),
+        (Some(12.0), Some(40.0), Some(7.5))
+    );
     assert_eq!(
         (load.queued_setups, load.utilization),
         (None, None),
