--- a/crates/fleet-testkit/src/link.rs
+++ b/crates/fleet-testkit/src/link.rs
@@ -21,13 +21,13 @@
     /// Share of datagrams that are lost.
     pub loss: f64,
     /// Share that comes twice.
-    pub doubled: f64,
+    pub duplication: f64,
     /// A datagram takes this long at least, and up to twice as long: so they overtake each other.
     pub delay: Duration,
     /// A stream is taken, and nothing passes on it.
     pub stalled: bool,
     /// A stream passes a byte at a time.
-    pub dripping: bool,
+    pub byte_by_byte: bool,
 }
 
 #[derive(Default)]
@@ -39,7 +39,7 @@
 /// All ways between so many members.
 pub struct Links {
     size: usize,
-    ways: BTreeMap<(usize, usize), SocketAddr>,
+    addresses: BTreeMap<(usize, usize), SocketAddr>,
     state: Arc<Mutex<State>>,
     _end: Option<tokio::sync::oneshot::Sender<()>>,
 }
@@ -48,10 +48,10 @@
     pub(crate) fn new(size: usize, seed: u64) -> Links {
         let state: Arc<Mutex<State>> = Arc::default();
         if size == 0 {
-            return Links { size, ways: BTreeMap::new(), state, _end: None };
+            return Links { size, addresses: BTreeMap::new(), state, _end: None };
         }
         let (end, ended) = tokio::sync::oneshot::channel::<()>();
-        let (told, ways) = std::sync::mpsc::channel();
+        let (told, addresses) = std::sync::mpsc::channel();
         let shared = state.clone();
         std::thread::spawn(move || {
             let runtime =
@@ -59,34 +59,34 @@
             tokio::task::LocalSet::new().block_on(&runtime, async {
                 let mut all = BTreeMap::new();
                 for pair in (0..size).flat_map(|a| (0..size).map(move |b| (a, b))).filter(|(a, b)| a != b) {
-                    all.insert(pair, open(pair, shared.clone(), seed).await);
+                    all.insert(pair, open_link(pair, shared.clone(), seed).await);
                 }
                 let _ = told.send(all);
                 let _ = ended.await;
             });
         });
-        let ways = ways.recv().expect("the links are open");
-        Links { size, ways, state, _end: Some(end) }
+        let addresses = addresses.recv().expect("the links are open");
+        Links { size, addresses, state, _end: Some(end) }
     }
 
     /// Where one member reaches another.
-    pub fn way(&self, from: usize, to: usize) -> SocketAddr {
-        self.ways[&(from, to)]
+    pub fn address(&self, from: usize, to: usize) -> SocketAddr {
+        self.addresses[&(from, to)]
     }
 
-    pub(crate) fn leads_to(&self, member: usize, address: SocketAddr) {
+    pub(crate) fn set_target(&self, member: usize, address: SocketAddr) {
         self.state.lock().expect("the links").targets.insert(member, address);
     }
 
     /// Sets what is wrong with the way from one to another.
-    pub fn set(&self, from: usize, to: usize, fault: Fault) {
+    pub fn set_fault(&self, from: usize, to: usize, fault: Fault) {
         self.state.lock().expect("the links").faults.insert((from, to), fault);
     }
 
     /// Sets what is wrong with all ways.
-    pub fn set_all(&self, fault: Fault) {
-        for (from, to) in self.ways.keys() {
-            self.set(*from, *to, fault);
+    pub fn set_fault_on_all(&self, fault: Fault) {
+        for (from, to) in self.addresses.keys() {
+            self.set_fault(*from, *to, fault);
         }
     }
 
@@ -94,20 +94,20 @@
     pub fn cut(&self, from: &BTreeSet<usize>, to: &BTreeSet<usize>, both: bool) {
         let cut = Fault { cut: true, ..Fault::default() };
         for (a, b) in from.iter().flat_map(|a| to.iter().map(move |b| (*a, *b))).filter(|(a, b)| a != b) {
-            self.set(a, b, cut);
+            self.set_fault(a, b, cut);
             if both {
-                self.set(b, a, cut);
+                self.set_fault(b, a, cut);
             }
         }
     }
 
     /// All not in the set.
-    pub fn rest(&self, of: &BTreeSet<usize>) -> BTreeSet<usize> {
+    pub fn others(&self, of: &BTreeSet<usize>) -> BTreeSet<usize> {
         (0..self.size).filter(|n| !of.contains(n)).collect()
     }
 
     /// All is well again.
-    pub fn heal(&self) {
+    pub fn clear_faults(&self) {
         self.state.lock().expect("the links").faults.clear();
     }
 }
@@ -120,7 +120,7 @@
     state.lock().expect("the links").targets.get(&pair.1).copied()
 }
 
-async fn open(pair: (usize, usize), state: Arc<Mutex<State>>, seed: u64) -> SocketAddr {
+async fn open_link(pair: (usize, usize), state: Arc<Mutex<State>>, seed: u64) -> SocketAddr {
     let (udp, tcp) = loop {
         let tcp = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = tcp.local_addr().expect("its address");
@@ -130,12 +130,17 @@
     };
     let address = tcp.local_addr().expect("its address");
     let rng = Pcg64Mcg::seed_from_u64(seed ^ (pair.0 as u64) << 32 ^ pair.1 as u64);
-    tokio::task::spawn_local(datagrams(pair, udp, state.clone(), rng));
-    tokio::task::spawn_local(streams(pair, tcp, state));
+    tokio::task::spawn_local(forward_datagrams(pair, udp, state.clone(), rng));
+    tokio::task::spawn_local(forward_streams(pair, tcp, state));
     address
 }
 
-async fn datagrams(pair: (usize, usize), udp: UdpSocket, state: Arc<Mutex<State>>, mut rng: Pcg64Mcg) {
+async fn forward_datagrams(
+    pair: (usize, usize),
+    udp: UdpSocket,
+    state: Arc<Mutex<State>>,
+    mut rng: Pcg64Mcg,
+) {
     let udp = std::rc::Rc::new(udp);
     let mut buffer = [0; 2048];
     loop {
@@ -146,7 +151,7 @@
         if fault.cut || chance(fault.loss) {
             continue;
         }
-        let times = if chance(fault.doubled) { 2 } else { 1 };
+        let times = if chance(fault.duplication) { 2 } else { 1 };
         let Some(to) = target(&state, pair) else { continue };
         for _ in 0..times {
             if fault.delay.is_zero() {
@@ -163,7 +168,7 @@
     }
 }
 
-async fn streams(pair: (usize, usize), tcp: TcpListener, state: Arc<Mutex<State>>) {
+async fn forward_streams(pair: (usize, usize), tcp: TcpListener, state: Arc<Mutex<State>>) {
     loop {
         let Ok((near, _)) = tcp.accept().await else { continue };
         let state = state.clone();
@@ -172,9 +177,9 @@
             let Ok(far) = TcpStream::connect(to).await else { return };
             let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
             tokio::select! {
-                () = pass(pair, near_in, far_out, &state) => {}
+                () = forward_bytes(pair, near_in, far_out, &state) => {}
                 // What comes back goes by the other way's faults.
-                () = pass((pair.1, pair.0), far_in, near_out, &state) => {}
+                () = forward_bytes((pair.1, pair.0), far_in, near_out, &state) => {}
                 () = sleep(Duration::from_secs(30)) => {}
             }
         });
@@ -182,7 +187,12 @@
 }
 
 /// Passes bytes one way until either side ends. Returns late, so that what the other way still carries arrives.
-async fn pass(pair: (usize, usize), mut from: OwnedReadHalf, mut to: OwnedWriteHalf, state: &Mutex<State>) {
+async fn forward_bytes(
+    pair: (usize, usize),
+    mut from: OwnedReadHalf,
+    mut to: OwnedWriteHalf,
+    state: &Mutex<State>,
+) {
     let mut buffer = [0; 16 * 1024];
     while let Ok(size @ 1..) = from.read(&mut buffer).await {
         let mut sent = 0;
@@ -192,11 +202,11 @@
                 sleep(Duration::from_millis(20)).await;
                 continue;
             }
-            let end = if fault.dripping { sent + 1 } else { size };
+            let end = if fault.byte_by_byte { sent + 1 } else { size };
             if to.write_all(&buffer[sent..end]).await.is_err() {
                 return;
             }
-            if fault.dripping {
+            if fault.byte_by_byte {
                 sleep(Duration::from_millis(20)).await;
             }
             sent = end;
--- a/crates/fleet-testkit/src/process.rs
+++ b/crates/fleet-testkit/src/process.rs
@@ -9,10 +9,10 @@
 
 use serde_json::Value;
 
-use crate::PATIENCE;
+use crate::STEP_TIMEOUT;
 
 /// Lines that are kept of a log.
-const LINES: usize = 400;
+const MAX_LOG_LINES: usize = 400;
 
 /// One process of the fleet, running or not.
 pub struct Process {
@@ -21,11 +21,11 @@
     /// Whom it asks first, where that is not the plan's.
     pub seeds: Option<Vec<SocketAddr>>,
     /// Where it is to be reached, where that is not a free port.
-    pub at: Option<SocketAddr>,
-    /// Processes of one folder find each other at an upgrade.
-    pub meets: bool,
+    pub address: Option<SocketAddr>,
+    /// Processes of one dir find each other at an upgrade.
+    pub shares_upgrade_dir: bool,
     /// Fail points from its start on, as in `wall=return(3600)`; several with semicolons between.
-    pub faults: String,
+    pub fail_points: String,
     pub(crate) env: Vec<(String, String)>,
     pub(crate) child: Option<Child>,
     pub(crate) paused: bool,
@@ -37,9 +37,9 @@
         Process {
             id: id.to_string(),
             seeds: None,
-            at: None,
-            meets: false,
-            faults: String::new(),
+            address: None,
+            shares_upgrade_dir: false,
+            fail_points: String::new(),
             env: Vec::new(),
             child: None,
             paused: false,
@@ -47,17 +47,17 @@
         }
     }
 
-    pub(crate) fn start(&mut self, program: &Path, args: &[String], folder: &Path, takes_part: bool) {
+    pub(crate) fn start(&mut self, program: &Path, args: &[String], dir: &Path, has_fleet_section: bool) {
         self.kill();
         self.log.lock().expect("the log").clear();
         let mut child = Command::new(program)
             .args(args)
             .env_remove("LB_CONFIG")
             .env_remove("LB_OPS")
-            .env("FAILPOINTS", &self.faults)
+            .env("FAILPOINTS", &self.fail_points)
             .envs(self.env.iter().cloned())
             // No handover between a process and the next under its id, unless the scenario is an upgrade.
-            .env("TMPDIR", if self.meets { folder.to_path_buf() } else { folder.join("none") })
+            .env("TMPDIR", if self.shares_upgrade_dir { dir.to_path_buf() } else { dir.join("none") })
             .stdin(Stdio::null())
             .stderr(Stdio::piped())
             .spawn()
@@ -68,73 +68,78 @@
             for line in err.lines().map_while(Result::ok) {
                 let mut log = log.lock().expect("the log");
                 // The first lines tell the addresses.
-                if log.len() >= LINES {
-                    log.remove(LINES / 2);
+                if log.len() >= MAX_LOG_LINES {
+                    log.remove(MAX_LOG_LINES / 2);
                 }
                 log.push(line);
             }
         });
         (self.child, self.paused) = (Some(child), false);
-        if takes_part {
-            self.wait_for("takes part in the fleet");
+        if has_fleet_section {
+            self.wait_for_log("takes part in the fleet");
         }
-        self.wait_for("operators connect here");
+        self.wait_for_log("operators connect here");
     }
 
     /// Waits for a line with these words.
-    pub fn wait_for(&mut self, words: &str) -> String {
+    pub fn wait_for_log(&mut self, words: &str) -> String {
         let start = Instant::now();
         loop {
-            let found = self.lines().into_iter().find(|l| l.contains(words));
+            let found = self.log_lines().into_iter().find(|l| l.contains(words));
             if let Some(line) = found {
                 return line;
             }
             let ended = self.child.as_mut().is_none_or(|c| !matches!(c.try_wait(), Ok(None)));
-            assert!(!ended && start.elapsed() < PATIENCE, "{}: no '{words}' in {:#?}", self.id, self.lines());
+            assert!(
+                !ended && start.elapsed() < STEP_TIMEOUT,
+                "{}: no '{words}' in {:#?}",
+                self.id,
+                self.log_lines()
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
     /// What it has logged.
-    pub fn lines(&self) -> Vec<String> {
+    pub fn log_lines(&self) -> Vec<String> {
         self.log.lock().expect("the log").clone()
     }
 
     /// The last lines, for a failure's report.
-    pub fn last_words(&self) -> String {
-        let lines = self.lines();
+    pub fn log_tail(&self) -> String {
+        let lines = self.log_lines();
         let from = lines.len().saturating_sub(25);
         format!("--- {}\n{}", self.id, lines[from..].join("\n"))
     }
 
-    fn addresses(&self, words: &str) -> Vec<SocketAddr> {
-        let line = self.lines().into_iter().find(|l| l.contains(words));
+    fn addresses_in_log(&self, words: &str) -> Vec<SocketAddr> {
+        let line = self.log_lines().into_iter().find(|l| l.contains(words));
         let line = line.unwrap_or_else(|| panic!("{} has not said '{words}'", self.id));
         line.split([' ', '=']).filter_map(|word| word.parse().ok()).collect()
     }
 
     /// Where it takes part in the fleet.
-    pub fn address(&self) -> SocketAddr {
-        self.addresses("takes part in the fleet")[0]
+    pub fn fleet_address(&self) -> SocketAddr {
+        self.addresses_in_log("takes part in the fleet")[0]
     }
 
     /// Its operators' door.
-    pub fn door(&self) -> SocketAddr {
-        self.addresses("operators connect here")[0]
+    pub fn admin_address(&self) -> SocketAddr {
+        self.addresses_in_log("operators connect here")[0]
     }
 
     /// Where its front of this line listens: " serves " or "serves SIP".
-    pub fn front(&self, words: &str) -> SocketAddr {
-        self.addresses(words)[0]
+    pub fn front_address(&self, words: &str) -> SocketAddr {
+        self.addresses_in_log(words)[0]
     }
 
     /// It runs, and is not stopped.
-    pub fn runs(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         self.child.is_some() && !self.paused
     }
 
     /// Its memory in kB: what is resident now.
-    pub fn memory(&self) -> u64 {
+    pub fn resident_kb(&self) -> u64 {
         let pid = self.child.as_ref().map_or(0, Child::id);
         let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
         let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
@@ -149,7 +154,7 @@
     }
 
     /// Says that it is to end, and does not wait for it.
-    pub fn told_to_end(&self) {
+    pub fn request_termination(&self) {
         self.signal("-TERM");
     }
 
@@ -158,14 +163,14 @@
         if let Some(mut child) = self.child.take() {
             let start = Instant::now();
             while matches!(child.try_wait(), Ok(None)) {
-                assert!(start.elapsed() < PATIENCE, "{} does not end", self.id);
+                assert!(start.elapsed() < STEP_TIMEOUT, "{} does not end", self.id);
                 std::thread::sleep(Duration::from_millis(5));
             }
         }
     }
 
     /// Stops it, or continues it.
-    pub(crate) fn pause(&mut self, paused: bool) {
+    pub(crate) fn set_paused(&mut self, paused: bool) {
         self.signal(if paused { "-STOP" } else { "-CONT" });
         self.paused = paused;
     }
@@ -178,8 +183,8 @@
     }
 
     /// One call at its door: status and body.
-    pub fn ask(&self, method: &str, path: &str) -> Option<(u16, String)> {
-        let mut stream = TcpStream::connect_timeout(&self.door(), Duration::from_secs(2)).ok()?;
+    pub fn admin_request(&self, method: &str, path: &str) -> Option<(u16, String)> {
+        let mut stream = TcpStream::connect_timeout(&self.admin_address(), Duration::from_secs(2)).ok()?;
         stream.set_read_timeout(Some(Duration::from_secs(5))).ok()?;
         stream.write_all(format!("{method} {path} HTTP/1.1\r\nHost: door\r\n\r\n").as_bytes()).ok()?;
         let mut text = String::new();
@@ -189,8 +194,8 @@
     }
 
     /// Sets a fail point in it: the program has them in test builds only.
-    pub fn fault(&self, name: &str, action: &str) {
-        let set = self.ask("PUT", &format!("/faults/{name}={action}"));
+    pub fn set_fail_point(&self, name: &str, action: &str) {
+        let set = self.admin_request("PUT", &format!("/faults/{name}={action}"));
         assert_eq!(
             set.as_ref().map(|(status, _)| *status),
             Some(200),
@@ -200,11 +205,11 @@
     }
 
     /// How it sees the fleet.
-    pub fn status(&self) -> Option<Value> {
-        if !self.runs() {
+    pub fn fleet_status(&self) -> Option<Value> {
+        if !self.is_running() {
             return None;
         }
-        let (status, body) = self.ask("GET", "/control/fleet")?;
+        let (status, body) = self.admin_request("GET", "/control/fleet")?;
         (status == 200).then(|| serde_json::from_str(&body).ok())?
     }
 }
--- a/tests/peers/site.rs
+++ b/tests/peers/site.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use cobaltspool_fleet_testkit::{Plan, TestFleet};
+use cobaltspool_fleet_testkit::{FleetConfig, TestFleet};
 use serde_json::json;
 
 use super::sip::Agent;
@@ -22,26 +22,26 @@
     pub _resolvers: [Resolver; 2],
 }
 
-pub fn plan(members: usize, linked: bool, [platform, sip]: &[Resolver; 2]) -> Plan {
+pub fn plan(members: usize, linked: bool, [platform, sip]: &[Resolver; 2]) -> FleetConfig {
     let config = Program::platform_config(platform, settings()).to_string();
     let mut on_sip = Program::sip_config(sip, "_sip._udp.pool.lan", 9000);
     on_sip.as_object_mut().unwrap().remove("ops"); // the one door is the command line's
     let on_sip = on_sip.to_string();
-    Plan {
+    FleetConfig {
         program: env!("CARGO_BIN_EXE_cobaltspool").into(),
-        members,
-        period: PERIOD,
-        memory: Duration::from_secs(3600),
+        member_count: members,
+        probe_period: PERIOD,
+        down_retention: Duration::from_secs(3600),
         linked,
-        upgrades: false,
-        without: false,
-        voters: 0,
+        shares_upgrade_dir: false,
+        without_fleet_section: false,
+        voter_count: 0,
         env: Vec::new(),
         seeds: |n| vec![0, n.saturating_sub(1)],
         files: Box::new(move |_| {
             vec![("--config".to_string(), config.clone()), ("--sip".to_string(), on_sip.clone())]
         }),
-        seed: 11,
+        rng_seed: 11,
     }
 }
 
@@ -76,15 +76,15 @@
     site_by(members, linked, |_| {})
 }
 
-pub fn site_by(members: usize, linked: bool, change: impl FnOnce(&mut Plan)) -> Site {
+pub fn site_by(members: usize, linked: bool, change: impl FnOnce(&mut FleetConfig)) -> Site {
     let resolvers =
         [Resolver::new(vec![line("s-1", server(), 0)]), Resolver::new(vec![line("t-1", sip_server(), 0)])];
     let mut plan = plan(members, linked, &resolvers);
     change(&mut plan);
-    let alone = plan.without;
+    let alone = plan.without_fleet_section;
     let mut fleet = TestFleet::start(plan);
     if !alone {
-        fleet.settles("all start");
+        fleet.wait_until_settled("all start");
     }
     Site { fleet, _resolvers: resolvers }
 }
@@ -93,9 +93,9 @@
     /// Invariant 1 over all that was seen.
     pub fn checked(self) {
         let running: Vec<String> =
-            self.fleet.members.iter().filter(|m| m.runs()).map(|m| m.id.clone()).collect();
-        assert!(self.fleet.history.looks() > 0);
-        let late = self.fleet.history.held_down(&running, self.fleet.bound());
+            self.fleet.members.iter().filter(|m| m.is_running()).map(|m| m.id.clone()).collect();
+        assert!(self.fleet.history.poll_count() > 0);
+        let late = self.fleet.history.ids_down_past_bound(&running, self.fleet.settling_bound());
         assert!(late.is_empty(), "held down for longer than the bound: {late:?}");
     }
 }
@@ -187,6 +187,6 @@
 
 /// Where these take calls, on each front.
 pub fn gates(fleet: &TestFleet, members: impl IntoIterator<Item = usize>) -> Vec<[SocketAddr; 2]> {
-    let of = |n: usize| [" serves name=", " serves SIP"].map(|words| fleet.members[n].front(words));
+    let of = |n: usize| [" serves name=", " serves SIP"].map(|words| fleet.members[n].front_address(words));
     members.into_iter().map(of).collect()
 }
