--- a/crates/fleet-testkit/src/effect_recorder/tests.rs
+++ b/crates/fleet-testkit/src/effect_recorder/tests.rs
@@ -1,10 +1,10 @@
-//! The checker is seen to fail.
+//! Proves that the token order check rejects faulty sequences.
 
 use super::*;
 
-/// The checker is seen to fail.
+/// A lower token after a higher one, and one token used by two owners, are errors; a fenced-off effect is not.
 #[test]
-fn a_lower_token_after_a_higher_one_is_told() {
+fn token_order_check_rejects_decreasing_and_shared_tokens() {
     let row = |token, owner: &str, executed| ReceivedEffect {
         received_at: Instant::now(),
         resource: "w".into(),
--- a/crates/fleet-testkit/src/history.rs
+++ b/crates/fleet-testkit/src/history.rs
@@ -1,4 +1,4 @@
-//! What was seen, and the checkers over it.
+//! Records the membership views that processes report, and checks them.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -7,16 +7,16 @@
 
 use crate::process::Process;
 
-/// How one process sees the fleet.
+/// Membership of the fleet as one process reports it in `/control/fleet`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetView {
-    /// Nothing has changed of late, and nobody is suspect.
+    /// The view has not changed recently and no member is suspect.
     pub settled: bool,
-    /// It is silent, for a newer start under its id.
+    /// The process is on standby because a newer process runs under its id.
     pub is_standby: bool,
-    /// Members by state.
+    /// Id and state of each member.
     pub members: Vec<(String, String)>,
-    /// The whole object.
+    /// The complete JSON answer.
     pub json: Value,
 }
 
@@ -32,53 +32,56 @@
         }
     }
 
-    /// Ids of those that it holds live.
+    /// Ids of the members in state `alive` or `suspect`.
     pub fn live_ids(&self) -> BTreeSet<&str> {
         let live = |(_, state): &&(String, String)| state == "alive" || state == "suspect";
         self.members.iter().filter(live).map(|(id, _)| id.as_str()).collect()
     }
 
-    /// How it holds a member.
+    /// State of a member in this view; `unknown` if the member is not listed.
     pub fn state_of(&self, id: &str) -> &str {
         self.members.iter().find(|(m, _)| m == id).map_or("unknown", |(_, state)| state)
     }
 
-    /// What it has of a member.
+    /// JSON entry of a member; null if the member is not listed.
     pub fn member_json(&self, id: &str) -> &Value {
         let members = self.json["members"].as_array();
         members.and_then(|all| all.iter().find(|m| m["id"] == id)).unwrap_or(&Value::Null)
     }
 }
 
-/// Whether all that run and speak hold those that run, and no other, and call themselves settled.
-pub fn check_agreement(members: &[Process], seen: &[Option<FleetView>]) -> Result<(), String> {
-    let truth: BTreeSet<&str> = members.iter().filter(|m| m.is_running()).map(|m| m.id.as_str()).collect();
-    for (member, seen) in members.iter().zip(seen) {
+/// Checks that every running process that is not on standby lists exactly the running members as live and reports
+/// itself settled, and that exactly one process per running id is not on standby.
+pub fn check_agreement(members: &[Process], views: &[Option<FleetView>]) -> Result<(), String> {
+    let running: BTreeSet<&str> = members.iter().filter(|m| m.is_running()).map(|m| m.id.as_str()).collect();
+    for (member, view) in members.iter().zip(views) {
         if !member.is_running() {
             continue;
         }
-        let Some(seen) = seen else { return Err(format!("{} does not answer", member.id)) };
-        if seen.is_standby {
+        let Some(view) = view else {
+            return Err(format!("{} does not answer the status request", member.id));
+        };
+        if view.is_standby {
             continue;
         }
-        if seen.live_ids() != truth {
-            return Err(format!("{} holds {:?}, and {truth:?} run", member.id, seen.members));
+        if view.live_ids() != running {
+            return Err(format!("{} reports {:?}, running are {running:?}", member.id, view.members));
         }
-        if !seen.settled {
+        if !view.settled {
             return Err(format!("{} is not settled", member.id));
         }
     }
-    for id in truth {
-        let speak = members.iter().zip(seen).filter(|(m, _)| m.is_running() && m.id == id);
-        let speak = speak.filter(|(_, s)| s.as_ref().is_some_and(|s| !s.is_standby)).count();
-        if speak != 1 {
-            return Err(format!("{speak} processes speak as {id}"));
+    for id in running {
+        let active = members.iter().zip(views).filter(|(m, _)| m.is_running() && m.id == id);
+        let active = active.filter(|(_, s)| s.as_ref().is_some_and(|s| !s.is_standby)).count();
+        if active != 1 {
+            return Err(format!("{active} processes are active under id {id}, expected one"));
         }
     }
     Ok(())
 }
 
-/// What was seen, when, and when something was broken or mended last.
+/// Reported views over time, each with the time of the last injected or repaired fault before it.
 #[derive(Default)]
 pub struct History {
     samples: Vec<(Instant, Option<Instant>, Vec<Option<FleetView>>)>,
@@ -86,35 +89,35 @@
 }
 
 impl History {
-    /// Something is broken or mended now.
+    /// Notes that a fault is injected or repaired now.
     pub fn record_disturbance(&mut self) {
         self.last_disturbance = Some(Instant::now());
     }
 
-    pub(crate) fn record(&mut self, seen: &[Option<FleetView>]) {
-        self.samples.push((Instant::now(), self.last_disturbance, seen.to_vec()));
+    pub(crate) fn record(&mut self, views: &[Option<FleetView>]) {
+        self.samples.push((Instant::now(), self.last_disturbance, views.to_vec()));
     }
 
-    /// Deaths that were seen of a member that ran, by its id, within all that was recorded.
+    /// Number of recorded views in which the member is `down`.
     pub fn down_reports(&self, id: &str) -> usize {
         self.samples
             .iter()
-            .flat_map(|(_, _, seen)| seen.iter().flatten())
+            .flat_map(|(_, _, views)| views.iter().flatten())
             .filter(|s| s.state_of(id) == "down")
             .count()
     }
 
-    /// The checker of "never held down for longer than T": rows more than the bound after the last change, in which somebody
-    /// holds one of these down.
+    /// Checks that a running member is never reported `down` for longer than the bound: returns the ids out of `ids`
+    /// that a view reports as `down` more than `bound` after the last disturbance, once per view.
     pub fn ids_down_past_bound(&self, ids: &[String], bound: Duration) -> Vec<String> {
         let late = |(at, last_disturbance, _): &&(Instant, Option<Instant>, Vec<Option<FleetView>>)| {
             last_disturbance.is_none_or(|d| at.duration_since(d) > bound)
         };
-        let samples = self.samples.iter().filter(late).flat_map(|(_, _, seen)| seen.iter().flatten());
+        let samples = self.samples.iter().filter(late).flat_map(|(_, _, views)| views.iter().flatten());
         samples.flat_map(|s| ids.iter().filter(|id| s.state_of(id) == "down").cloned()).collect()
     }
 
-    /// How many times was looked.
+    /// Number of times the views were polled.
     pub fn poll_count(&self) -> usize {
         self.samples.len()
     }
--- a/crates/fleet-testkit/src/history/tests.rs
+++ b/crates/fleet-testkit/src/history/tests.rs
@@ -1,23 +1,23 @@
-//! The checker is seen to fail.
+//! Proves that the check for members reported down too long fails when it must.
 
 use serde_json::json;
 
 use super::*;
 
-/// The checker is seen to fail: a death that is held past the bound is told, one within it is not.
+/// A member that is reported down past the bound is returned, one within the bound is not.
 #[test]
-fn a_death_that_is_held_too_long_is_told() {
-    let seen = |state: &str| {
+fn a_member_down_past_the_bound_is_reported() {
+    let view = |state: &str| {
         Some(FleetView::of(json!({"settled": true, "members": [{"id": "n1", "state": state}]})))
     };
     let mut history = History::default();
     history.record_disturbance();
-    history.record(&[seen("down"), None]);
+    history.record(&[view("down"), None]);
     let ids = ["n1".to_string()];
     assert_eq!(history.ids_down_past_bound(&ids, Duration::from_secs(60)), Vec::<String>::new());
     assert_eq!(history.ids_down_past_bound(&ids, Duration::ZERO), ids);
     assert_eq!((history.down_reports("n1"), history.down_reports("n2")), (1, 0));
-    let mut well = History::default();
-    well.record(&[seen("alive")]);
-    assert!(well.ids_down_past_bound(&ids, Duration::ZERO).is_empty());
+    let mut healthy = History::default();
+    healthy.record(&[view("alive")]);
+    assert!(healthy.ids_down_past_bound(&ids, Duration::ZERO).is_empty());
 }
--- a/crates/fleet-testkit/src/lib.rs
+++ b/crates/fleet-testkit/src/lib.rs
@@ -1,5 +1,6 @@
-//! Starts several real gatekeepers on ports of their own, joins them by directed links (`link`), breaks processes
-//! (`process`) and links, and records how each sees the fleet (`history`). Waiting is always for a condition with a bound.
+//! Test harness that runs several gatekeeper processes on free ports, connects them through directed links (`link`),
+//! injects faults into processes (`process`) and links, and records the membership each process reports (`history`).
+//! Every wait is for a condition with a time limit.
 
 pub mod effect_recorder;
 pub mod history;
@@ -19,46 +20,47 @@
 use link::Links;
 use process::Process;
 
-/// No step takes longer, on however busy a machine.
+/// Time limit of a single step, generous enough for a busy machine.
 pub const STEP_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What a fleet is started with.
+/// Configuration of a test fleet.
 pub struct FleetConfig {
-    /// The program.
+    /// Path of the gatekeeper executable.
     pub program: PathBuf,
-    /// How many members.
+    /// Number of configured members.
     pub member_count: usize,
-    /// From one probe to the next.
+    /// Interval between two probes of a member.
     pub probe_period: Duration,
-    /// For how long the dead are remembered.
+    /// How long members keep the records of members that are down (setting `memory`).
     pub down_retention: Duration,
-    /// A second process of a member finds the first, as at an upgrade.
+    /// The processes share a `TMPDIR`, so that a second process of a member takes over from the first (an upgrade).
     pub shares_upgrade_dir: bool,
-    /// The first so many keep the fleet's log.
+    /// Number of voters: the members with the lowest numbers keep the replicated log.
     pub voter_count: usize,
-    /// Further variables of each process.
+    /// Additional environment variables of each process.
     pub env: Vec<(String, String)>,
-    /// Without a fleet section: what a measurement compares with.
+    /// The processes run without a fleet section, as the baseline of a measurement.
     pub without_fleet_section: bool,
-    /// Members reach each other by links that can be broken; else straight, so that one more process may have an id.
+    /// Members reach each other through links with injectable faults. Without links they connect directly, which
+    /// permits a second process under one id.
     pub linked: bool,
-    /// Whom each asks first, by number.
+    /// Numbers of the seed members of a member.
     pub seeds: fn(usize) -> Vec<usize>,
-    /// A member's further arguments: each a flag and what its file holds.
+    /// Additional arguments of a member, each a flag with the content of the file that it names.
     pub files: Box<dyn Fn(usize) -> Vec<(String, String)>>,
-    /// For random choices, printed where something fails.
+    /// Seed of the random choices; printed when a wait fails.
     pub rng_seed: u64,
 }
 
-/// A fleet of processes.
+/// A fleet of gatekeeper processes, killed on drop.
 pub struct TestFleet {
     config: FleetConfig,
     dir: PathBuf,
-    /// The processes, by number; ids are `n0`, `n1`, ...
+    /// The processes by number. The configured members have the ids `n0`, `n1`, ...
     pub members: Vec<Process>,
-    /// The links between them.
+    /// Links between the members; empty unless `linked`.
     pub links: Links,
-    /// What was seen.
+    /// Views recorded so far.
     pub history: History,
     rng: Pcg64Mcg,
 }
@@ -70,9 +72,10 @@
         let name =
             format!("cobaltspool-fleet-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
         let dir = std::env::temp_dir().join(&name);
-        std::fs::create_dir_all(&dir).expect("a dir for the fleet");
-        // Ports go from one fleet to the next: without a key of its own each, their fleets would meet.
-        std::fs::write(dir.join("fleet.key"), format!("{name}, a key of its own")).expect("a key");
+        std::fs::create_dir_all(&dir).expect("create the directory of the fleet");
+        // Ports are reused between fleets. A separate key per fleet keeps their members from joining each other.
+        std::fs::write(dir.join("fleet.key"), format!("{name}, a key of its own"))
+            .expect("write the key file");
         let links = Links::new(if config.linked { config.member_count } else { 0 }, config.rng_seed);
         let rng = Pcg64Mcg::seed_from_u64(config.rng_seed);
         let mut fleet =
@@ -88,28 +91,28 @@
         fleet
     }
 
-    /// The settling bound at this size: the contract's T.
+    /// Time within which a fleet of this size must settle after a change: the contract's T.
     pub fn settling_bound(&self) -> Duration {
         let size = self.members.len().max(10) as f64;
         self.config.probe_period * (16.0 + 14.0 * size.log10()).ceil() as u32
     }
 
-    /// The probe period.
+    /// Interval between two probes of a member.
     pub fn probe_period(&self) -> Duration {
         self.config.probe_period
     }
 
-    /// The fleet's key, for frames that a test writes itself.
+    /// Key of the fleet, for frames that a test encodes itself.
     pub fn key(&self) -> Vec<u8> {
-        std::fs::read(self.dir.join("fleet.key")).expect("a key")
+        std::fs::read(self.dir.join("fleet.key")).expect("read the key file")
     }
 
-    /// Starts a member, or starts it anew.
+    /// Starts or restarts a member.
     pub fn start_member(&mut self, n: usize) {
         self.start_process(n, n);
     }
 
-    /// Starts a process with the files of another.
+    /// Starts process `n` with the configuration files of member `of`.
     fn start_process(&mut self, n: usize, of: usize) {
         let mut files = (self.config.files)(of);
         let fleet = self.fleet_section(n);
@@ -119,7 +122,7 @@
         let mut args = vec!["serve".to_string(), "--door".to_string(), "127.0.0.1:0".to_string()];
         for (k, (flag, text)) in files.into_iter().enumerate() {
             let path = self.dir.join(format!("{n}-{k}.json"));
-            std::fs::write(&path, text).expect("a file is written");
+            std::fs::write(&path, text).expect("write a configuration file");
             args.extend([flag, path.display().to_string()]);
         }
         self.history.record_disturbance();
@@ -131,35 +134,36 @@
         }
     }
 
-    /// One more process of a member, as at an upgrade: with the same files and the same address.
+    /// Starts a second process of a member as in an upgrade: same files, same fleet address. Returns its number.
     pub fn start_successor(&mut self, of: usize) -> usize {
-        assert!(!self.config.linked, "links lead to one process an id");
+        assert!(!self.config.linked, "a link leads to one process per id");
         let (id, at, n) = (self.members[of].id.clone(), self.members[of].fleet_address(), self.members.len());
         self.members.push(Process { address: Some(at), shares_upgrade_dir: true, ..Process::new(&id) });
         self.start_process(n, of);
         n
     }
 
-    /// Starts a member that no other knows, with these seeds.
+    /// Starts a member that is not in any other member's configuration, with the given seeds. Returns its number.
     pub fn start_newcomer(&mut self, id: &str, seeds: Vec<SocketAddr>) -> usize {
-        assert!(!self.config.linked, "there is no link to it");
+        assert!(!self.config.linked, "links exist between the configured members only");
         let n = self.members.len();
         self.members.push(Process { seeds: Some(seeds), ..Process::new(id) });
         self.start_member(n);
         n
     }
 
-    /// Starts a second process under the id of another, with a third member as its seed. Not for linked fleets, whose links
-    /// lead to one process per id.
+    /// Starts a second process under the id of another, with a third member as its seed. Not available in linked
+    /// fleets, in which a link leads to one process per id. Returns its number.
     pub fn start_duplicate(&mut self, of: usize, seed: usize) -> usize {
-        assert!(!self.config.linked, "links lead to one process an id");
+        assert!(!self.config.linked, "a link leads to one process per id");
         let id = self.members[of].id.clone();
         self.start_newcomer(&id, vec![self.members[seed].fleet_address()])
     }
 
+    /// The fleet section of the operations file of process `n`.
     fn fleet_section(&self, n: usize) -> Value {
         let process = &self.members[n];
-        let there = |m: &usize| *m < self.members.len() && *m != n;
+        let exists = |m: &usize| *m < self.members.len() && *m != n;
         let seeds: Vec<SocketAddr> = match &process.seeds {
             Some(seeds) => seeds.clone(),
             None if self.config.linked => (self.config.seeds)(n)
@@ -169,7 +173,7 @@
                 .collect(),
             None => (self.config.seeds)(n)
                 .iter()
-                .filter(|m| there(m))
+                .filter(|m| exists(m))
                 .map(|m| self.members[*m].fleet_address())
                 .collect(),
         };
@@ -194,43 +198,43 @@
         self.dir.join(format!("state-{id}"))
     }
 
-    /// Ends a member without a word.
+    /// Kills a member with `SIGKILL`.
     pub fn kill(&mut self, n: usize) {
         self.history.record_disturbance();
         self.members[n].kill();
     }
 
-    /// Stops a member while nothing looks.
+    /// Suspends a member without recording a disturbance, for measurements that do not poll.
     pub fn suspend_unrecorded(&self, n: usize) {
         self.members[n].signal("-STOP");
     }
 
-    /// Tells a member to end, and waits until it has.
+    /// Sends `SIGTERM` to a member and waits until it has ended.
     pub fn terminate(&mut self, n: usize) {
         self.history.record_disturbance();
         self.members[n].terminate();
     }
 
-    /// Stops a member, or continues it.
-    pub fn set_paused(&mut self, n: usize, paused: bool) {
+    /// Suspends or resumes a member.
+    pub fn set_suspended(&mut self, n: usize, suspended: bool) {
         self.history.record_disturbance();
-        self.members[n].set_paused(paused);
+        self.members[n].set_suspended(suspended);
     }
 
-    /// A draw below so many.
+    /// Random number below `below`, from the seeded generator.
     pub fn random_below(&mut self, below: usize) -> usize {
         (self.rng.next_u64() % below.max(1) as u64) as usize
     }
 
-    /// How every running process sees the fleet now; `None` for one that does not run.
+    /// Requests the current view of every process and records it; `None` for a process that does not run or answer.
     pub fn poll_views(&mut self) -> Vec<Option<FleetView>> {
-        let seen: Vec<Option<FleetView>> =
+        let views: Vec<Option<FleetView>> =
             self.members.iter().map(|m| m.fleet_status().map(FleetView::of)).collect();
-        self.history.record(&seen);
-        seen
+        self.history.record(&views);
+        views
     }
 
-    /// Goes on for a while, looking all the time: the history needs what happens meanwhile.
+    /// Polls the views for the given time, so that the history contains what happens in it.
     pub fn poll_for(&mut self, time: Duration) {
         let until = Instant::now() + time;
         while Instant::now() < until {
@@ -239,7 +243,8 @@
         }
     }
 
-    /// Looks until this holds, and gives how long that took.
+    /// Polls the views until `holds` returns `Ok`, and returns the time taken. After `within` it panics with the last
+    /// error and the log tails.
     pub fn wait_until(
         &mut self,
         what: &str,
@@ -248,8 +253,8 @@
     ) -> Duration {
         let start = Instant::now();
         loop {
-            let seen = self.poll_views();
-            let wrong = match holds(self, &seen) {
+            let views = self.poll_views();
+            let wrong = match holds(self, &views) {
                 Ok(()) => return start.elapsed(),
                 Err(wrong) => wrong,
             };
@@ -265,12 +270,12 @@
         }
     }
 
-    /// Invariant 1: within the bound every running member that speaks holds those that run and no other, and says that it
-    /// has settled. The bound has room for the machine's own delays.
+    /// Waits for invariant 1: within the settling bound every running member that is not on standby lists exactly the
+    /// running members and reports itself settled. 10 s are added for delays of the test machine.
     pub fn wait_until_settled(&mut self, what: &str) -> Duration {
         let bound = self.settling_bound();
-        self.wait_until(what, bound + Duration::from_secs(10), |fleet, seen| {
-            history::check_agreement(&fleet.members, seen)
+        self.wait_until(what, bound + Duration::from_secs(10), |fleet, views| {
+            history::check_agreement(&fleet.members, views)
         })
     }
 }
--- a/crates/fleet-testkit/src/link.rs
+++ b/crates/fleet-testkit/src/link.rs
@@ -1,5 +1,5 @@
-//! Links: a way from one member to another, over UDP and TCP, that can be cut, slowed, stalled and made to lie. All are tasks
-//! of one thread.
+//! Directed links between members: UDP and TCP forwarders that can drop, duplicate, delay and stall traffic. All
+//! forwarders run as tasks on one thread.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -13,20 +13,21 @@
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::time::sleep;
 
-/// What is wrong with a way.
+/// Faults injected into one directed link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Fault {
-    /// Nothing passes.
+    /// No datagram and no stream byte is forwarded.
     pub cut: bool,
-    /// Share of datagrams that are lost.
+    /// Fraction of datagrams that are dropped.
     pub loss: f64,
-    /// Share that comes twice.
+    /// Fraction of datagrams that are sent twice.
     pub duplication: f64,
-    /// A datagram takes this long at least, and up to twice as long: so they overtake each other.
+    /// Minimum delay of a datagram. The actual delay is one to two times this value at random, so datagrams are
+    /// reordered.
     pub delay: Duration,
-    /// A stream is taken, and nothing passes on it.
+    /// Streams are accepted, but no byte is forwarded.
     pub stalled: bool,
-    /// A stream passes a byte at a time.
+    /// Streams are forwarded one byte every 20 ms.
     pub byte_by_byte: bool,
 }
 
@@ -36,7 +37,7 @@
     targets: BTreeMap<usize, SocketAddr>,
 }
 
-/// All ways between so many members.
+/// Links between all pairs of members, in both directions.
 pub struct Links {
     size: usize,
     addresses: BTreeMap<(usize, usize), SocketAddr>,
@@ -51,46 +52,49 @@
             return Links { size, addresses: BTreeMap::new(), state, _end: None };
         }
         let (end, ended) = tokio::sync::oneshot::channel::<()>();
-        let (told, addresses) = std::sync::mpsc::channel();
+        let (sender, receiver) = std::sync::mpsc::channel();
         let shared = state.clone();
         std::thread::spawn(move || {
-            let runtime =
-                tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+            let runtime = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build()
+                .expect("build the runtime");
             tokio::task::LocalSet::new().block_on(&runtime, async {
                 let mut all = BTreeMap::new();
                 for pair in (0..size).flat_map(|a| (0..size).map(move |b| (a, b))).filter(|(a, b)| a != b) {
                     all.insert(pair, open_link(pair, shared.clone(), seed).await);
                 }
-                let _ = told.send(all);
+                let _ = sender.send(all);
                 let _ = ended.await;
             });
         });
-        let addresses = addresses.recv().expect("the links are open");
+        let addresses = receiver.recv().expect("the link thread opens all links");
         Links { size, addresses, state, _end: Some(end) }
     }
 
-    /// Where one member reaches another.
+    /// Address at which `from` reaches `to`.
     pub fn address(&self, from: usize, to: usize) -> SocketAddr {
         self.addresses[&(from, to)]
     }
 
+    /// Sets the address of a member to which all links towards it forward.
     pub(crate) fn set_target(&self, member: usize, address: SocketAddr) {
-        self.state.lock().expect("the links").targets.insert(member, address);
+        self.state.lock().expect("lock the link state").targets.insert(member, address);
     }
 
-    /// Sets what is wrong with the way from one to another.
+    /// Replaces the faults of the link between two members in this direction.
     pub fn set_fault(&self, from: usize, to: usize, fault: Fault) {
-        self.state.lock().expect("the links").faults.insert((from, to), fault);
+        self.state.lock().expect("lock the link state").faults.insert((from, to), fault);
     }
 
-    /// Sets what is wrong with all ways.
+    /// Replaces the faults of all links.
     pub fn set_fault_on_all(&self, fault: Fault) {
         for (from, to) in self.addresses.keys() {
             self.set_fault(*from, *to, fault);
         }
     }
 
-    /// Cuts the ways from these to those; both ways where asked.
+    /// Cuts the links from one set of members to another, with `both` also those in the opposite direction.
     pub fn cut(&self, from: &BTreeSet<usize>, to: &BTreeSet<usize>, both: bool) {
         let cut = Fault { cut: true, ..Fault::default() };
         for (a, b) in from.iter().flat_map(|a| to.iter().map(move |b| (*a, *b))).filter(|(a, b)| a != b) {
@@ -101,34 +105,35 @@
         }
     }
 
-    /// All not in the set.
+    /// All members that are not in the set.
     pub fn others(&self, of: &BTreeSet<usize>) -> BTreeSet<usize> {
         (0..self.size).filter(|n| !of.contains(n)).collect()
     }
 
-    /// All is well again.
+    /// Removes all faults.
     pub fn clear_faults(&self) {
-        self.state.lock().expect("the links").faults.clear();
+        self.state.lock().expect("lock the link state").faults.clear();
     }
 }
 
 fn fault(state: &Mutex<State>, pair: (usize, usize)) -> Fault {
-    state.lock().expect("the links").faults.get(&pair).copied().unwrap_or_default()
+    state.lock().expect("lock the link state").faults.get(&pair).copied().unwrap_or_default()
 }
 
 fn target(state: &Mutex<State>, pair: (usize, usize)) -> Option<SocketAddr> {
-    state.lock().expect("the links").targets.get(&pair.1).copied()
+    state.lock().expect("lock the link state").targets.get(&pair.1).copied()
 }
 
+/// Binds the UDP and the TCP socket of a link to the same port and starts its forwarders.
 async fn open_link(pair: (usize, usize), state: Arc<Mutex<State>>, seed: u64) -> SocketAddr {
     let (udp, tcp) = loop {
-        let tcp = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = tcp.local_addr().expect("its address");
+        let tcp = TcpListener::bind("127.0.0.1:0").await.expect("bind a TCP port");
+        let address = tcp.local_addr().expect("local address of the listener");
         if let Ok(udp) = UdpSocket::bind(address).await {
             break (udp, tcp);
         }
     };
-    let address = tcp.local_addr().expect("its address");
+    let address = tcp.local_addr().expect("local address of the listener");
     let rng = Pcg64Mcg::seed_from_u64(seed ^ (pair.0 as u64) << 32 ^ pair.1 as u64);
     tokio::task::spawn_local(forward_datagrams(pair, udp, state.clone(), rng));
     tokio::task::spawn_local(forward_streams(pair, tcp, state));
@@ -146,22 +151,22 @@
     loop {
         let Ok((size, _)) = udp.recv_from(&mut buffer).await else { continue };
         let fault = fault(&state, pair);
-        let mut chance =
+        let mut happens =
             |share: f64| (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64 <= share && share > 0.0;
-        if fault.cut || chance(fault.loss) {
+        if fault.cut || happens(fault.loss) {
             continue;
         }
-        let times = if chance(fault.duplication) { 2 } else { 1 };
+        let copies = if happens(fault.duplication) { 2 } else { 1 };
         let Some(to) = target(&state, pair) else { continue };
-        for _ in 0..times {
+        for _ in 0..copies {
             if fault.delay.is_zero() {
                 let _ = udp.try_send_to(&buffer[..size], to);
                 continue;
             }
-            let late = fault.delay + fault.delay.mul_f64((rng.next_u64() % 1000) as f64 / 1000.0);
+            let delay = fault.delay + fault.delay.mul_f64((rng.next_u64() % 1000) as f64 / 1000.0);
             let (udp, bytes) = (udp.clone(), buffer[..size].to_vec());
             tokio::task::spawn_local(async move {
-                sleep(late).await;
+                sleep(delay).await;
                 let _ = udp.try_send_to(&bytes, to);
             });
         }
@@ -178,7 +183,7 @@
             let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
             tokio::select! {
                 () = forward_bytes(pair, near_in, far_out, &state) => {}
-                // What comes back goes by the other way's faults.
+                // The return direction is subject to the faults of the opposite link.
                 () = forward_bytes((pair.1, pair.0), far_in, near_out, &state) => {}
                 () = sleep(Duration::from_secs(30)) => {}
             }
@@ -186,7 +191,8 @@
     }
 }
 
-/// Passes bytes one way until either side ends. Returns late, so that what the other way still carries arrives.
+/// Forwards bytes in one direction until either side closes. Returns 5 s after that, so that bytes still in transit in
+/// the other direction arrive before the caller closes both.
 async fn forward_bytes(
     pair: (usize, usize),
     mut from: OwnedReadHalf,
--- a/crates/fleet-testkit/src/process.rs
+++ b/crates/fleet-testkit/src/process.rs
@@ -1,4 +1,4 @@
-//! One real process: started with its files, killed, stopped, asked.
+//! One gatekeeper process: start, kill, suspend, terminate, and requests to its admin listener.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -11,24 +11,24 @@
 
 use crate::STEP_TIMEOUT;
 
-/// Lines that are kept of a log.
+/// Maximum number of log lines kept per process.
 const MAX_LOG_LINES: usize = 400;
 
-/// One process of the fleet, running or not.
+/// One process of the fleet, which may or may not be running.
 pub struct Process {
-    /// Its member's id.
+    /// Id of the member that the process runs as.
     pub id: String,
-    /// Whom it asks first, where that is not the plan's.
+    /// Seed addresses; `None` takes those of the fleet configuration.
     pub seeds: Option<Vec<SocketAddr>>,
-    /// Where it is to be reached, where that is not a free port.
+    /// Fleet address to bind; `None` takes a free port.
     pub address: Option<SocketAddr>,
-    /// Processes of one dir find each other at an upgrade.
+    /// `TMPDIR` is the directory of the fleet, in which the two processes of an upgrade find each other.
     pub shares_upgrade_dir: bool,
-    /// Fail points from its start on, as in `wall=return(3600)`; several with semicolons between.
+    /// Fail points set at process start, such as `wall=return(3600)`; several are separated by semicolons.
     pub fail_points: String,
     pub(crate) env: Vec<(String, String)>,
     pub(crate) child: Option<Child>,
-    pub(crate) paused: bool,
+    pub(crate) suspended: bool,
     pub(crate) log: Arc<Mutex<Vec<String>>>,
 }
 
@@ -42,57 +42,57 @@
             fail_points: String::new(),
             env: Vec::new(),
             child: None,
-            paused: false,
+            suspended: false,
             log: Arc::default(),
         }
     }
 
     pub(crate) fn start(&mut self, program: &Path, args: &[String], dir: &Path, has_fleet_section: bool) {
         self.kill();
-        self.log.lock().expect("the log").clear();
+        self.log.lock().expect("lock the log").clear();
         let mut child = Command::new(program)
             .args(args)
             .env_remove("LB_CONFIG")
             .env_remove("LB_OPS")
             .env("FAILPOINTS", &self.fail_points)
             .envs(self.env.iter().cloned())
-            // No handover between a process and the next under its id, unless the scenario is an upgrade.
+            // Without the shared directory a restarted process does not take over from its predecessor.
             .env("TMPDIR", if self.shares_upgrade_dir { dir.to_path_buf() } else { dir.join("none") })
             .stdin(Stdio::null())
             .stderr(Stdio::piped())
             .spawn()
-            .expect("the program starts");
-        let err = BufReader::new(child.stderr.take().expect("its log"));
+            .expect("start the program");
+        let err = BufReader::new(child.stderr.take().expect("stderr is piped"));
         let log = self.log.clone();
         std::thread::spawn(move || {
             for line in err.lines().map_while(Result::ok) {
-                let mut log = log.lock().expect("the log");
-                // The first lines tell the addresses.
+                let mut log = log.lock().expect("lock the log");
+                // Drops lines from the middle: the first lines contain the addresses, which are read later.
                 if log.len() >= MAX_LOG_LINES {
                     log.remove(MAX_LOG_LINES / 2);
                 }
                 log.push(line);
             }
         });
-        (self.child, self.paused) = (Some(child), false);
+        (self.child, self.suspended) = (Some(child), false);
         if has_fleet_section {
             self.wait_for_log("takes part in the fleet");
         }
         self.wait_for_log("operators connect here");
     }
 
-    /// Waits for a line with these words.
-    pub fn wait_for_log(&mut self, words: &str) -> String {
+    /// Waits for a log line that contains `text` and returns it. Panics if the process ends or `STEP_TIMEOUT` expires.
+    pub fn wait_for_log(&mut self, text: &str) -> String {
         let start = Instant::now();
         loop {
-            let found = self.log_lines().into_iter().find(|l| l.contains(words));
+            let found = self.log_lines().into_iter().find(|l| l.contains(text));
             if let Some(line) = found {
                 return line;
             }
             let ended = self.child.as_mut().is_none_or(|c| !matches!(c.try_wait(), Ok(None)));
             assert!(
                 !ended && start.elapsed() < STEP_TIMEOUT,
-                "{}: no '{words}' in {:#?}",
+                "{}: no '{text}' in {:#?}",
                 self.id,
                 self.log_lines()
             );
@@ -100,45 +100,46 @@
         }
     }
 
-    /// What it has logged.
+    /// Log lines of the current run, at most `MAX_LOG_LINES`.
     pub fn log_lines(&self) -> Vec<String> {
-        self.log.lock().expect("the log").clone()
+        self.log.lock().expect("lock the log").clone()
     }
 
-    /// The last lines, for a failure's report.
+    /// The last 25 log lines, for the report of a failed wait.
     pub fn log_tail(&self) -> String {
         let lines = self.log_lines();
         let from = lines.len().saturating_sub(25);
         format!("--- {}\n{}", self.id, lines[from..].join("\n"))
     }
 
-    fn addresses_in_log(&self, words: &str) -> Vec<SocketAddr> {
-        let line = self.log_lines().into_iter().find(|l| l.contains(words));
-        let line = line.unwrap_or_else(|| panic!("{} has not said '{words}'", self.id));
+    /// Addresses in the first log line that contains `text`.
+    fn addresses_in_log(&self, text: &str) -> Vec<SocketAddr> {
+        let line = self.log_lines().into_iter().find(|l| l.contains(text));
+        let line = line.unwrap_or_else(|| panic!("{} has not logged '{text}'", self.id));
         line.split([' ', '=']).filter_map(|word| word.parse().ok()).collect()
     }
 
-    /// Where it takes part in the fleet.
+    /// Address of the process for messages between members.
     pub fn fleet_address(&self) -> SocketAddr {
         self.addresses_in_log("takes part in the fleet")[0]
     }
 
-    /// Its operators' door.
+    /// Address of the admin listener.
     pub fn admin_address(&self) -> SocketAddr {
         self.addresses_in_log("operators connect here")[0]
     }
 
-    /// Where its front of this line listens: " serves " or "serves SIP".
-    pub fn front_address(&self, words: &str) -> SocketAddr {
-        self.addresses_in_log(words)[0]
+    /// Listen address of a front, by a text in its start-up log line: " serves name=" or " serves SIP".
+    pub fn front_address(&self, text: &str) -> SocketAddr {
+        self.addresses_in_log(text)[0]
     }
 
-    /// It runs, and is not stopped.
+    /// The process has been started and is not suspended by `SIGSTOP`.
     pub fn is_running(&self) -> bool {
-        self.child.is_some() && !self.paused
+        self.child.is_some() && !self.suspended
     }
 
-    /// Its memory in kB: what is resident now.
+    /// Resident memory in kB; 0 if the process does not run.
     pub fn resident_kb(&self) -> u64 {
         let pid = self.child.as_ref().map_or(0, Child::id);
         let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
@@ -153,36 +154,37 @@
         }
     }
 
-    /// Says that it is to end, and does not wait for it.
+    /// Sends `SIGTERM` without waiting for the process to end.
     pub fn request_termination(&self) {
         self.signal("-TERM");
     }
 
+    /// Sends `SIGTERM` and waits until the process has ended.
     pub(crate) fn terminate(&mut self) {
         self.signal("-TERM");
         if let Some(mut child) = self.child.take() {
             let start = Instant::now();
             while matches!(child.try_wait(), Ok(None)) {
-                assert!(start.elapsed() < STEP_TIMEOUT, "{} does not end", self.id);
+                assert!(start.elapsed() < STEP_TIMEOUT, "{} does not end after SIGTERM", self.id);
                 std::thread::sleep(Duration::from_millis(5));
             }
         }
     }
 
-    /// Stops it, or continues it.
-    pub(crate) fn set_paused(&mut self, paused: bool) {
-        self.signal(if paused { "-STOP" } else { "-CONT" });
-        self.paused = paused;
+    /// Suspends the process with `SIGSTOP`, or resumes it with `SIGCONT`.
+    pub(crate) fn set_suspended(&mut self, suspended: bool) {
+        self.signal(if suspended { "-STOP" } else { "-CONT" });
+        self.suspended = suspended;
     }
 
     pub(crate) fn signal(&self, which: &str) {
         if let Some(child) = &self.child {
             let done = Command::new("kill").args([which, &child.id().to_string()]).status();
-            assert!(done.is_ok_and(|d| d.success()), "kill {which}");
+            assert!(done.is_ok_and(|d| d.success()), "kill {which} failed");
         }
     }
 
-    /// One call at its door: status and body.
+    /// Sends one HTTP request to the admin listener and returns status and body.
     pub fn admin_request(&self, method: &str, path: &str) -> Option<(u16, String)> {
         let mut stream = TcpStream::connect_timeout(&self.admin_address(), Duration::from_secs(2)).ok()?;
         stream.set_read_timeout(Some(Duration::from_secs(5))).ok()?;
@@ -193,7 +195,7 @@
         Some((status, text.split_once("\r\n\r\n")?.1.to_string()))
     }
 
-    /// Sets a fail point in it: the program has them in test builds only.
+    /// Sets a fail point in the running process. Only test builds of the program contain fail points.
     pub fn set_fail_point(&self, name: &str, action: &str) {
         let set = self.admin_request("PUT", &format!("/faults/{name}={action}"));
         assert_eq!(
@@ -204,7 +206,7 @@
         );
     }
 
-    /// How it sees the fleet.
+    /// Answer to `GET /control/fleet`; `None` if the process does not run or does not answer.
     pub fn fleet_status(&self) -> Option<Value> {
         if !self.is_running() {
             return None;
