--- a/src/sip/clients.rs
+++ b/src/sip/clients.rs
@@ -11,7 +11,7 @@
 
 use super::dialog::Dialog;
 use super::message::{Message, param, sent_by, uri_parts};
-use super::transaction::{Answer, Due, Server};
+use super::transaction::{AnswerRetransmitter, ServerMachine, TimerAction};
 use super::transport::Peer;
 use super::{ALLOW, Owner, ServerKey, ServerTransaction, SipFrontend, note_source};
 
@@ -29,7 +29,7 @@
     /// Content-Type of the server's description.
     pub(super) answer_type: Option<String>,
     dialog: Option<Dialog>,
-    answer: Option<Answer>,
+    answer: Option<AnswerRetransmitter>,
     bytes: Bytes,
     /// The call is over; the BYE waits for the ACK (§15).
     over: bool,
@@ -80,21 +80,21 @@
         let (key, invite) = (of(&method), of("INVITE"));
         if method == "ACK" {
             match self.server_txns.get_mut(&invite) {
-                Some(transaction) => transaction.machine.ack(clock::now()),
+                Some(transaction) => transaction.machine.on_ack(clock::now()),
                 None => self.acked(&message),
             }
             return;
         }
         if let Some(transaction) = self.server_txns.get_mut(&key) {
             // A repeated request never gets past its transaction: a repeated INVITE is no second call.
-            if transaction.machine.request_again() {
+            if transaction.machine.retransmits_response() {
                 transaction.peer = self.transport.send(transaction.peer, "", transaction.last.clone());
             }
             return;
         }
         let reliable = peer.reliable();
         let request = Rc::new(message);
-        let machine = Server::new(method == "INVITE", reliable, self.times);
+        let machine = ServerMachine::new(method == "INVITE", reliable, self.timers);
         let merged = request.tag("To").is_none() && method == "INVITE" && self.is_merged(&request);
         let transaction =
             ServerTransaction { machine, peer, request: request.clone(), last: Bytes::new(), call: None };
@@ -259,14 +259,14 @@
             response.add("Content-Type", kind);
         }
         response.body = description;
-        let dialog = Dialog::of_server(&request, &response);
+        let dialog = Dialog::as_server(&request, &response);
         let dialog_key = (request.get("Call-ID").unwrap_or_default().to_string(), caller.tag.clone());
         let bytes = response.to_bytes();
         self.respond(&key, response);
         self.dialogs.insert(dialog_key, Owner::Caller(call));
         if let Some(caller) = self.callers.get_mut(&call) {
             (caller.dialog, caller.bytes) = (dialog, bytes);
-            caller.answer = Some(Answer::new(now, self.times));
+            caller.answer = Some(AnswerRetransmitter::new(now, self.timers));
         }
     }
 
@@ -293,7 +293,7 @@
     pub(super) fn over(&mut self, call: CallId) {
         let Some(caller) = self.callers.get_mut(&call) else { return };
         caller.over = true;
-        if caller.answer.as_ref().is_none_or(Answer::acked) {
+        if caller.answer.as_ref().is_none_or(AnswerRetransmitter::is_acked) {
             self.bye_caller(call);
         }
     }
@@ -314,7 +314,7 @@
         };
         let Some(caller) = self.callers.get_mut(&call) else { return };
         if let Some(answer) = &mut caller.answer {
-            answer.ack();
+            answer.on_ack();
         }
         if caller.over {
             self.bye_caller(call);
@@ -335,7 +335,7 @@
             None => None,
         };
         let known = dialog.filter(|d| param(&d.remote, "tag") == request.tag("From"));
-        let code = match (known.map(|d| d.in_order(seq)), request.method()) {
+        let code = match (known.map(|d| d.accept_sequence_number(seq)), request.method()) {
             (None, _) => 481,
             (Some(false), _) => 500,
             (Some(true), Some("BYE" | "OPTIONS")) => 200,
@@ -372,11 +372,11 @@
         for (call, caller) in &mut self.callers {
             let Some(answer) = &mut caller.answer else { continue };
             match answer.tick(now) {
-                Due::Resend => {
+                TimerAction::Retransmit => {
                     caller.peer = self.transport.send(caller.peer, "", caller.bytes.clone());
                 }
-                Due::TimedOut => unheard.push(*call),
-                Due::Nothing => {}
+                TimerAction::TimedOut => unheard.push(*call),
+                TimerAction::Nothing => {}
             }
         }
         for call in unheard {
--- a/src/sip/dialog.rs
+++ b/src/sip/dialog.rs
@@ -12,9 +12,9 @@
     /// The peer's, with its tag.
     pub remote: String,
     /// The peer's Contact: where requests go.
-    pub target: String,
+    pub remote_target: String,
     /// The route set, in the order in which requests carry it.
-    pub route: Vec<String>,
+    pub route_set: Vec<String>,
     /// Our last CSeq number.
     pub local_seq: u32,
     /// The peer's last CSeq number.
@@ -23,29 +23,29 @@
 
 impl Dialog {
     /// The dialog that our 2xx to an INVITE makes (§12.1.1).
-    pub fn of_server(invite: &Message, answer: &Message) -> Option<Dialog> {
+    pub fn as_server(invite: &Message, answer: &Message) -> Option<Dialog> {
         Some(Dialog {
             call_id: invite.get("Call-ID")?.to_string(),
             local: answer.get("To")?.to_string(),
             remote: invite.get("From")?.to_string(),
-            target: address(invite.get("Contact")?).to_string(),
-            route: routes(invite).collect(),
+            remote_target: address(invite.get("Contact")?).to_string(),
+            route_set: record_routes(invite).collect(),
             local_seq: 0,
             remote_seq: invite.cseq()?.0,
         })
     }
 
     /// The dialog that a peer's 2xx to our INVITE makes (§12.1.2).
-    pub fn of_client(invite: &Message, answer: &Message) -> Option<Dialog> {
-        let mut route: Vec<String> = routes(answer).collect();
+    pub fn as_client(invite: &Message, answer: &Message) -> Option<Dialog> {
+        let mut route: Vec<String> = record_routes(answer).collect();
         route.reverse();
         let target = answer.get("Contact").map(address).or(invite.uri())?;
         Some(Dialog {
             call_id: invite.get("Call-ID")?.to_string(),
             local: invite.get("From")?.to_string(),
             remote: answer.get("To")?.to_string(),
-            target: target.to_string(),
-            route,
+            remote_target: target.to_string(),
+            route_set: route,
             local_seq: invite.cseq()?.0,
             remote_seq: 0,
         })
@@ -56,8 +56,8 @@
         if method != "ACK" {
             self.local_seq += 1;
         }
-        let mut request = Message::request(method, &self.target);
-        for route in &self.route {
+        let mut request = Message::request(method, &self.remote_target);
+        for route in &self.route_set {
             request.add("Route", route);
         }
         request.add("Max-Forwards", "70");
@@ -69,13 +69,13 @@
     }
 
     /// Takes the number of a request of the peer; false if it is older than one before (§12.2.2).
-    pub fn in_order(&mut self, seq: u32) -> bool {
+    pub fn accept_sequence_number(&mut self, seq: u32) -> bool {
         let in_order = self.remote_seq == 0 || seq > self.remote_seq;
         self.remote_seq = self.remote_seq.max(seq);
         in_order
     }
 }
 
-fn routes(message: &Message) -> impl Iterator<Item = String> {
+fn record_routes(message: &Message) -> impl Iterator<Item = String> {
     message.all("Record-Route").flat_map(split_list).map(str::to_string)
 }
--- a/src/sip/message.rs
+++ b/src/sip/message.rs
@@ -3,13 +3,13 @@
 use bytes::{Buf, Bytes, BytesMut};
 
 /// The longest head of a message, and the longest body.
-pub const HEAD_BYTES: usize = 32 * 1024;
-/// See [`HEAD_BYTES`].
-pub const BODY_BYTES: usize = 64 * 1024;
+pub const MAX_HEAD_BYTES: usize = 32 * 1024;
+/// See [`MAX_HEAD_BYTES`].
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// The first line.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Start {
+pub enum StartLine {
     /// A request: method and Request-URI.
     Request(String, String),
     /// A response: status code and reason phrase.
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
     /// The first line.
-    pub start: Start,
+    pub start: StartLine,
     /// The header fields.
     pub headers: Vec<(String, String)>,
     /// The body.
@@ -29,26 +29,26 @@
 
 /// What stands at the front of a stream.
 #[derive(Debug)]
-pub enum Next {
+pub enum Framed {
     /// A message, well-formed as far as framing goes.
     Message(Message),
     /// No whole message yet.
-    More,
+    Incomplete,
     /// No message can be made out any more: the stream is of no use.
-    Broken,
+    Invalid,
 }
 
 impl Message {
     /// A request without header fields.
     pub fn request(method: &str, uri: &str) -> Message {
-        let start = Start::Request(method.to_string(), uri.to_string());
+        let start = StartLine::Request(method.to_string(), uri.to_string());
         Message { start, headers: Vec::new(), body: Bytes::new() }
     }
 
     /// A response to a request (§8.2.6): Via, From, To, Call-ID and CSeq are the request's; `to_tag` is added
     /// where the request had none.
     pub fn response(request: &Message, code: u16, to_tag: Option<&str>) -> Message {
-        let start = Start::Status(code, reason(code).to_string());
+        let start = StartLine::Status(code, reason_phrase(code).to_string());
         let mut message = Message { start, headers: Vec::new(), body: Bytes::new() };
         for (name, value) in &request.headers {
             match name.as_str() {
@@ -81,17 +81,17 @@
 
     /// Method, for a request.
     pub fn method(&self) -> Option<&str> {
-        if let Start::Request(method, _) = &self.start { Some(method) } else { None }
+        if let StartLine::Request(method, _) = &self.start { Some(method) } else { None }
     }
 
     /// Request-URI, for a request.
     pub fn uri(&self) -> Option<&str> {
-        if let Start::Request(_, uri) = &self.start { Some(uri) } else { None }
+        if let StartLine::Request(_, uri) = &self.start { Some(uri) } else { None }
     }
 
     /// Status code, for a response.
     pub fn code(&self) -> Option<u16> {
-        if let Start::Status(code, _) = &self.start { Some(*code) } else { None }
+        if let StartLine::Status(code, _) = &self.start { Some(*code) } else { None }
     }
 
     /// Number and method of the CSeq header field.
@@ -126,8 +126,8 @@
     /// Writes the message.
     pub fn to_bytes(&self) -> Bytes {
         let mut out = match &self.start {
-            Start::Request(method, uri) => format!("{method} {uri} SIP/2.0\r\n"),
-            Start::Status(code, reason) => format!("SIP/2.0 {code} {reason}\r\n"),
+            StartLine::Request(method, uri) => format!("{method} {uri} SIP/2.0\r\n"),
+            StartLine::Status(code, reason) => format!("SIP/2.0 {code} {reason}\r\n"),
         };
         for (name, value) in self.headers.iter().filter(|(n, _)| n != "Content-Length") {
             out.push_str(&format!("{name}: {value}\r\n"));
@@ -139,7 +139,7 @@
     }
 
     /// What is wrong with a message whose framing was sound (§8.1.1, §8.2); `None` if nothing is.
-    pub fn fault(&self) -> Option<&'static str> {
+    pub fn validation_error(&self) -> Option<&'static str> {
         for name in ["Via", "From", "To", "Call-ID", "CSeq"] {
             if self.get(name).is_none_or(str::is_empty) {
                 return Some("a mandatory header field is missing");
@@ -158,7 +158,7 @@
         if self.tag("From").is_none() {
             return Some("From has no tag");
         }
-        if let Start::Request(own, uri) = &self.start {
+        if let StartLine::Request(own, uri) = &self.start {
             if own != method {
                 return Some("CSeq names another method");
             }
@@ -194,22 +194,24 @@
 }
 
 /// Takes the next message out of a stream's buffer; Content-Length frames it (§18.3).
-pub fn next(buffer: &mut BytesMut) -> Next {
+pub fn take_message(buffer: &mut BytesMut) -> Framed {
     while buffer.first().is_some_and(u8::is_ascii_whitespace) {
         buffer.advance(1); // a keep-alive between messages
     }
     let Some(head) = find_head(buffer) else {
-        return if buffer.len() > HEAD_BYTES { Next::Broken } else { Next::More };
+        return if buffer.len() > MAX_HEAD_BYTES { Framed::Invalid } else { Framed::Incomplete };
     };
-    let Some(mut message) = read_head(&buffer[..head]) else { return Next::Broken };
+    let Some(mut message) = read_head(&buffer[..head]) else { return Framed::Invalid };
     let length = message.get("Content-Length").and_then(|l| l.trim().parse::<usize>().ok());
-    let Some(length) = length.filter(|n| *n <= BODY_BYTES && head <= HEAD_BYTES) else { return Next::Broken };
+    let Some(length) = length.filter(|n| *n <= MAX_BODY_BYTES && head <= MAX_HEAD_BYTES) else {
+        return Framed::Invalid;
+    };
     if buffer.len() < head + 4 + length {
-        return Next::More;
+        return Framed::Incomplete;
     }
     buffer.advance(head + 4);
     message.body = buffer.split_to(length).freeze();
-    Next::Message(message)
+    Framed::Message(message)
 }
 
 fn find_head(bytes: &[u8]) -> Option<usize> {
@@ -224,7 +226,7 @@
         Some(rest) => {
             let (code, reason) = rest.split_once(' ').unwrap_or((rest, ""));
             let code = code.parse().ok().filter(|c| (100..700).contains(c))?;
-            Start::Status(code, reason.to_string())
+            StartLine::Status(code, reason.to_string())
         }
         None => {
             let mut words = first.split(' ');
@@ -233,7 +235,7 @@
             if words.next() != Some("SIP/2.0") || words.next().is_some() || !method.bytes().all(token) {
                 return None;
             }
-            Start::Request(method.to_string(), uri.to_string())
+            StartLine::Request(method.to_string(), uri.to_string())
         }
     };
     let mut headers: Vec<(String, String)> = Vec::new();
@@ -247,14 +249,14 @@
             continue;
         }
         let (name, value) = line.split_once(':')?;
-        headers.push((long_form(name.trim()), value.trim().to_string()));
+        headers.push((long_header_name(name.trim()), value.trim().to_string()));
     }
     Some(Message { start, headers, body: Bytes::new() })
 }
 
 /// Names are compared without case and compact forms stand for long ones (§7.3.3).
-fn long_form(name: &str) -> String {
-    const KNOWN: [(Option<&str>, &str); 17] = [
+fn long_header_name(name: &str) -> String {
+    const HEADER_NAMES: [(Option<&str>, &str); 17] = [
         (Some("v"), "Via"),
         (Some("f"), "From"),
         (Some("t"), "To"),
@@ -274,7 +276,7 @@
         (None, "Max-Forwards"),
     ];
     let same = |known: &str| name.eq_ignore_ascii_case(known);
-    let known = KNOWN.iter().find(|(short, long)| same(long) || short.is_some_and(same));
+    let known = HEADER_NAMES.iter().find(|(short, long)| same(long) || short.is_some_and(same));
     known.map_or_else(|| name.to_string(), |(_, long)| long.to_string())
 }
 
@@ -338,7 +340,7 @@
 }
 
 /// The reason phrase of a status code (§21).
-pub fn reason(code: u16) -> &'static str {
+pub fn reason_phrase(code: u16) -> &'static str {
     match code {
         100 => "Trying",
         180 => "Ringing",
--- a/src/sip/mod.rs
+++ b/src/sip/mod.rs
@@ -35,7 +35,7 @@
 use dialog::Dialog;
 use message::{Message, param};
 use servers::Leg;
-use transaction::{Client, Due, Server, Times};
+use transaction::{ClientMachine, ServerMachine, TimerAction, Timers};
 use transport::{Peer, Transport};
 
 /// What we do for a request, by its method.
@@ -67,7 +67,7 @@
 }
 
 struct ClientTransaction {
-    machine: Client,
+    machine: ClientMachine,
     purpose: Purpose,
     peer: Peer,
     request: Message,
@@ -79,7 +79,7 @@
 }
 
 struct ServerTransaction {
-    machine: Server,
+    machine: ServerMachine,
     peer: Peer,
     request: Rc<Message>,
     last: Bytes,
@@ -91,7 +91,7 @@
     driver: Driver,
     directory: Directory,
     transport: Transport,
-    times: Times,
+    timers: Timers,
     /// Servers are spoken to over TCP.
     over_tcp: bool,
     wait: Micros,
@@ -165,7 +165,7 @@
                 driver,
                 directory: Directory::default(),
                 transport,
-                times: Times { t1: config.t1 },
+                timers: Timers { t1: config.t1 },
                 over_tcp: config.service.split('.').any(|label| label == "_tcp"),
                 wait: config.wait,
                 drain_grace: config.settings.rules.drain_grace,
@@ -231,7 +231,7 @@
 
     /// Takes a message that could be framed.
     fn received(&mut self, from: Peer, message: Message) {
-        match (message.fault(), message.method().is_some()) {
+        match (message.validation_error(), message.method().is_some()) {
             (Some(_), true) => self.malformed(from, message),
             (None, true) => self.request(from, message),
             (None, false) => self.response(message),
@@ -259,7 +259,7 @@
         request.headers.insert(0, ("Via".to_string(), self.via(peer, &branch)));
         let bytes = request.to_bytes();
         let peer = self.transport.send(peer, &branch, bytes.clone());
-        let machine = Client::new(now, method == "INVITE", peer.reliable(), self.times);
+        let machine = ClientMachine::new(now, method == "INVITE", peer.reliable(), self.timers);
         let transaction = ClientTransaction { machine, purpose, peer, request, bytes, ack: None, moves: 0 };
         self.client_txns.insert((branch, method), transaction);
     }
@@ -307,7 +307,7 @@
         let clients: Vec<ClientKey> = self
             .client_txns
             .iter()
-            .filter(|(_, t)| due(t.machine.due()))
+            .filter(|(_, t)| due(t.machine.next_timer_at()))
             .map(|(key, _)| key.clone())
             .collect();
         for key in clients {
@@ -316,12 +316,12 @@
         let servers: Vec<ServerKey> = self
             .server_txns
             .iter()
-            .filter(|(_, t)| due(t.machine.due()))
+            .filter(|(_, t)| due(t.machine.next_timer_at()))
             .map(|(key, _)| key.clone())
             .collect();
         for key in servers {
             let Some(transaction) = self.server_txns.get_mut(&key) else { continue };
-            if transaction.machine.tick(now) == Due::Resend {
+            if transaction.machine.tick(now) == TimerAction::Retransmit {
                 self.transport.send(transaction.peer, "", transaction.last.clone());
             }
             if transaction.machine.state == transaction::State::Terminated {
--- a/src/sip/servers.rs
+++ b/src/sip/servers.rs
@@ -11,7 +11,7 @@
 
 use super::dialog::Dialog;
 use super::message::{Message, address, uri_parts};
-use super::transaction::{Due, Heard, State};
+use super::transaction::{ResponseAction, State, TimerAction};
 use super::transport::{ConnId, Peer};
 use super::{ALLOW, ClientKey, ClientTransaction, Owner, Purpose, SipFrontend};
 
@@ -121,19 +121,21 @@
         let key: ClientKey = (branch.to_string(), method.to_string());
         let code = message.code().unwrap_or(0);
         let Some(transaction) = self.client_txns.get_mut(&key) else { return };
-        let (purpose, heard) = (transaction.purpose, transaction.machine.response(now, code));
+        let (purpose, heard) = (transaction.purpose, transaction.machine.on_response(now, code));
         match (heard, purpose) {
-            (Heard::Again, _) => {
+            (ResponseAction::ResendAck, _) => {
                 if let Some(ack) = transaction.ack.clone() {
                     self.transport.send(transaction.peer, "", ack);
                 }
             }
-            (Heard::Pass, Purpose::Invite(attempt)) => match code {
+            (ResponseAction::PassUp, Purpose::Invite(attempt)) => match code {
                 100..200 => self.provisional(attempt, code),
                 200..300 => self.accepted(attempt, &key, message),
                 _ => self.turned_down(attempt, &key, message),
             },
-            (Heard::Pass, Purpose::Probe(server)) if code >= 200 && self.probes.remove(&server).is_some() => {
+            (ResponseAction::PassUp, Purpose::Probe(server))
+                if code >= 200 && self.probes.remove(&server).is_some() =>
+            {
                 let (answered, load) = (code != 503, LoadReport::default());
                 self.feed(Input::Load { server, answered, load });
             }
@@ -163,7 +165,7 @@
             self.transport.send(peer, "", ack);
             return;
         }
-        let Some(mut dialog) = Dialog::of_client(&transaction.request, &message) else { return };
+        let Some(mut dialog) = Dialog::as_client(&transaction.request, &message) else { return };
         let mut ack = dialog.request("ACK");
         let branch = self.new_branch();
         ack.headers.insert(0, ("Via".to_string(), self.via(peer, &branch)));
@@ -222,7 +224,7 @@
         }
         self.leg_over(attempt);
         let Some(transaction) = self.client_txns.get_mut(&key) else { return };
-        transaction.machine.mute();
+        transaction.machine.stop_retransmissions();
         if transaction.machine.state == State::Proceeding {
             self.cancel(attempt);
         }
@@ -256,7 +258,7 @@
 
     /// Nobody waits for a leg any more; it is forgotten once nothing can come of it.
     pub(super) fn leg_over(&mut self, attempt: AttemptId) {
-        let linger = clock::now() + self.times.all();
+        let linger = clock::now() + self.timers.timeout();
         if let Some(leg) = self.legs.get_mut(&attempt) {
             leg.over = true;
             leg.forget_at.get_or_insert(linger);
@@ -300,7 +302,7 @@
     /// A connection is over: INVITEs that were never written never ran, others were cut.
     pub(super) fn conn_lost(&mut self, id: ConnId, came_up: bool, unsent: Vec<String>) {
         let of_conn = |peer: Peer| matches!(peer, Peer::Tcp(_, Some(conn)) if conn == id);
-        let waiting = |s: State| matches!(s, State::Begun | State::Proceeding);
+        let waiting = |s: State| matches!(s, State::Trying | State::Proceeding);
         if came_up {
             self.move_plain(|t| of_conn(t.peer) && waiting(t.machine.state));
         }
@@ -361,7 +363,7 @@
         let Some(transaction) = self.client_txns.get_mut(key) else { return };
         let due = transaction.machine.tick(now);
         let (purpose, peer) = (transaction.purpose, transaction.peer);
-        if due == Due::Resend {
+        if due == TimerAction::Retransmit {
             // Guards the drain window to the last: a repeat that is late finds it closed.
             let closed = |a: AttemptId| self.legs.get(&a).and_then(|l| l.stop_at).is_some_and(|at| now >= at);
             if !matches!(purpose, Purpose::Invite(attempt) if closed(attempt)) {
@@ -372,7 +374,7 @@
         if transaction_over(self, key) {
             self.client_txns.remove(key);
         }
-        if let (Due::TimedOut, Purpose::Invite(attempt)) = (due, purpose) {
+        if let (TimerAction::TimedOut, Purpose::Invite(attempt)) = (due, purpose) {
             let told = self.legs.get(&attempt).is_some_and(|l| !l.over);
             self.leg_over(attempt);
             if told {
@@ -389,7 +391,7 @@
             let unheard = self
                 .client_txns
                 .get(&(leg.branch.clone(), "INVITE".to_string()))
-                .is_some_and(|t| t.machine.state == State::Begun && t.machine.repeats());
+                .is_some_and(|t| t.machine.state == State::Trying && t.machine.may_retransmit());
             if !leg.over && unheard && leg.stop_at.is_some_and(|at| now >= at) {
                 stopped.push(*attempt);
             }
--- a/src/sip/transport.rs
+++ b/src/sip/transport.rs
@@ -14,7 +14,7 @@
 use crate::clock;
 use crate::link::{self, Outbox};
 
-use super::message::{self, Next};
+use super::message::{self, Framed};
 use super::{Shared, SipFrontend};
 
 /// The longest datagram.
@@ -192,16 +192,16 @@
         return;
     };
     let on_bytes = |buffer: &mut BytesMut| loop {
-        match message::next(buffer) {
-            Next::Message(message) => {
+        match message::take_message(buffer) {
+            Framed::Message(message) => {
                 let mut frontend = frontend.borrow_mut();
                 if let Some(conn) = frontend.transport.conns.get_mut(&id) {
                     conn.used = clock::now();
                 }
                 frontend.received(Peer::Tcp(address, Some(id)), message);
             }
-            Next::More => return true,
-            Next::Broken => return false,
+            Framed::Incomplete => return true,
+            Framed::Invalid => return false,
         }
     };
     let on_drained = || frontend.borrow_mut().transport.flush(id);
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -3,7 +3,7 @@
 use bytes::BytesMut;
 use cobaltspool::platform::line::{self, Verb, decode, encode, key_value_pairs};
 use cobaltspool::sip::message::{
-    self, Message, Next, host_port, param, read_datagram, sent_by, split_list, uri_parts,
+    self, Framed, Message, host_port, param, read_datagram, sent_by, split_list, uri_parts,
 };
 use rstest::rstest;
 
@@ -54,7 +54,10 @@
         (Some("<sip:c@d>"), Some("77")),
         "a folded header field"
     );
-    assert_eq!((read.cseq(), read.fault(), &read.body[..]), (Some((4, "INVITE")), None, &b"v=0"[..]));
+    assert_eq!(
+        (read.cseq(), read.validation_error(), &read.body[..]),
+        (Some((4, "INVITE")), None, &b"v=0"[..])
+    );
     let again = read_datagram(&read.to_bytes()).unwrap().unwrap();
     assert_eq!(again.body, read.body);
     let ok = Message::response(&read, 200, Some("x"));
@@ -66,12 +69,12 @@
 fn truncated_message_is_incomplete() {
     for cut in 0..INVITE.len() {
         let mut buffer = BytesMut::from(&INVITE[..cut]);
-        assert!(matches!(message::next(&mut buffer), Next::More), "cut at {cut}");
+        assert!(matches!(message::take_message(&mut buffer), Framed::Incomplete), "cut at {cut}");
         let _ = read_datagram(&INVITE.as_bytes()[..cut]);
     }
     let mut two = BytesMut::from(format!("\r\n\r\n{INVITE}{INVITE}").as_str());
     for _ in 0..2 {
-        assert!(matches!(message::next(&mut two), Next::Message(_)));
+        assert!(matches!(message::take_message(&mut two), Framed::Message(_)));
     }
     assert!(two.is_empty());
 }
@@ -84,9 +87,9 @@
             let mut bytes = INVITE.as_bytes().to_vec();
             bytes[at] = byte;
             if let Some(Ok(read)) = read_datagram(&bytes) {
-                let _ = (read.fault(), Message::response(&read, 400, Some("t")).to_bytes());
+                let _ = (read.validation_error(), Message::response(&read, 400, Some("t")).to_bytes());
             }
-            let _ = message::next(&mut BytesMut::from(&bytes[..]));
+            let _ = message::take_message(&mut BytesMut::from(&bytes[..]));
         }
     }
     let text = LINE.replace('\n', "");
@@ -108,7 +111,7 @@
 #[case::no_start_line("hello\r\n\r\n")]
 #[case::no_colon("INVITE sip:a@b SIP/2.0\r\nnonsense\r\n\r\n")]
 fn stream_without_valid_framing_is_broken(#[case] text: &str) {
-    assert!(matches!(message::next(&mut BytesMut::from(text)), Next::Broken));
+    assert!(matches!(message::take_message(&mut BytesMut::from(text)), Framed::Invalid));
 }
 
 #[test]
