--- a/src/sip/clients.rs
+++ b/src/sip/clients.rs
@@ -1,4 +1,4 @@
-//! The client side of SIP: incoming INVITEs, their responses and the dialogs that they open.
+//! The caller side of SIP: incoming INVITEs, their responses and the dialogs that they establish.
 
 use std::rc::Rc;
 
@@ -13,26 +13,26 @@
 use super::message::{Message, param, sent_by, uri_parts};
 use super::transaction::{AnswerRetransmitter, ServerMachine, TimerAction};
 use super::transport::Peer;
-use super::{ALLOW, Owner, ServerKey, ServerTransaction, SipFrontend, note_source};
+use super::{ALLOWED_METHODS, DialogOwner, ServerKey, ServerTransaction, SipFrontend, record_source};
 
-/// The client of a call, kept while the call is open or established.
+/// The caller of a call, kept while the call is being set up or is established.
 pub(super) struct Caller {
     key: ServerKey,
     pub(super) request: Rc<Message>,
-    /// Index of its class in the settings.
+    /// Index of the call's class in the settings.
     pub(super) class: usize,
     peer: Peer,
     tag: String,
-    due: Micros,
+    deadline: Micros,
     /// Status code of the last server that rejected the call.
-    pub(super) last_code: Option<u16>,
-    /// Content-Type of the server's description.
-    pub(super) answer_type: Option<String>,
+    pub(super) last_failure_status: Option<u16>,
+    /// Content-Type of the answer from the server.
+    pub(super) answer_content_type: Option<String>,
     dialog: Option<Dialog>,
-    answer: Option<AnswerRetransmitter>,
-    bytes: Bytes,
-    /// The call is over; the BYE waits for the ACK (§15).
-    over: bool,
+    answer_retransmitter: Option<AnswerRetransmitter>,
+    answer_bytes: Bytes,
+    /// The call has ended; the BYE is sent after the ACK (§15).
+    ended: bool,
 }
 
 const STATUS_OK: u16 = 200;
@@ -45,11 +45,11 @@
 const STATUS_TOO_MANY_HOPS: u16 = 483;
 const STATUS_NOT_ACCEPTABLE: u16 = 488;
 const STATUS_SERVICE_UNAVAILABLE: u16 = 503;
-/// The pool of a call that names none.
+/// The pool of a call that does not name one.
 const ANY_POOL: i64 = -1;
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// Whom a call is for.
+/// Destination of a call, from its Request-URI.
 struct CallTarget {
     class: usize,
     number: Number,
@@ -57,38 +57,39 @@
     pool: PoolId,
 }
 
-/// How often a request may still be forwarded; `None` if it does not say.
-fn hops_left(request: &Message) -> Option<u32> {
+/// Number of hops that a request may still take; `None` if it has no valid limit.
+fn max_forwards(request: &Message) -> Option<u32> {
     request.get("Max-Forwards").and_then(|hops| hops.trim().parse().ok())
 }
 
-/// What identifies a call across repeated requests: the first part of Session-ID (RFC 7989), which the client keeps when it
-/// calls again, or the Call-ID.
-fn session_name(request: &Message) -> &str {
+/// Identifies a call across repeated requests: the first part of Session-ID (RFC 7989), which a caller keeps when
+/// it calls again, or else the Call-ID.
+fn session_id(request: &Message) -> &str {
     let session = request.get("Session-ID").and_then(|s| s.split(';').next());
     session.or(request.get("Call-ID")).unwrap_or_default().trim()
 }
 
 impl SipFrontend {
     /// Handles a well-formed request.
-    pub(super) fn request(&mut self, from: Peer, mut message: Message) {
-        let peer = note_source(&mut message, from);
+    pub(super) fn handle_request(&mut self, from: Peer, mut message: Message) {
+        let peer = record_source(&mut message, from);
         let method = message.method().unwrap_or_default().to_string();
         let Some((host, port)) = message.top_via().and_then(sent_by) else { return };
         let branch = message.branch().unwrap_or_default().to_string();
-        let of = |method: &str| (branch.clone(), format!("{host}:{port}"), method.to_string());
-        let (key, invite) = (of(&method), of("INVITE"));
+        let transaction_key = |method: &str| (branch.clone(), format!("{host}:{port}"), method.to_string());
+        let (key, invite_key) = (transaction_key(&method), transaction_key("INVITE"));
         if method == "ACK" {
-            match self.server_txns.get_mut(&invite) {
+            match self.server_transactions.get_mut(&invite_key) {
                 Some(transaction) => transaction.machine.on_ack(clock::now()),
-                None => self.acked(&message),
+                None => self.handle_answer_ack(&message),
             }
             return;
         }
-        if let Some(transaction) = self.server_txns.get_mut(&key) {
-            // A repeated request never gets past its transaction: a repeated INVITE is no second call.
+        if let Some(transaction) = self.server_transactions.get_mut(&key) {
+            // A retransmitted request is handled by its transaction, so a retransmitted INVITE starts no second call.
             if transaction.machine.retransmits_response() {
-                transaction.peer = self.transport.send(transaction.peer, "", transaction.last.clone());
+                transaction.peer =
+                    self.transport.send(transaction.peer, "", transaction.last_response.clone());
             }
             return;
         }
@@ -96,25 +97,30 @@
         let request = Rc::new(message);
         let machine = ServerMachine::new(method == "INVITE", reliable, self.timers);
         let merged = request.tag("To").is_none() && method == "INVITE" && self.is_merged(&request);
-        let transaction =
-            ServerTransaction { machine, peer, request: request.clone(), last: Bytes::new(), call: None };
-        self.server_txns.insert(key.clone(), transaction);
+        let transaction = ServerTransaction {
+            machine,
+            peer,
+            request: request.clone(),
+            last_response: Bytes::new(),
+            call: None,
+        };
+        self.server_transactions.insert(key.clone(), transaction);
         if merged {
             return self.respond_with(&key, &request, STATUS_LOOP_DETECTED);
         }
-        self.handle_new_request(key, &invite, request);
+        self.handle_new_request(key, &invite_key, request);
     }
 
-    /// Handles a request that has just got its server transaction.
-    fn handle_new_request(&mut self, key: ServerKey, invite: &ServerKey, request: Rc<Message>) {
+    /// Handles the first request of a new server transaction.
+    fn handle_new_request(&mut self, key: ServerKey, invite_key: &ServerKey, request: Rc<Message>) {
         if request.tag("To").is_some() {
-            return self.in_dialog(&key, &request);
+            return self.handle_in_dialog_request(&key, &request);
         }
         let status = match request.method().unwrap_or_default() {
-            "CANCEL" => return self.cancelled(&key, invite),
+            "CANCEL" => return self.handle_cancel(&key, invite_key),
             "INVITE" if request.get("Require").is_some() => return self.reject_extensions(&key, &request),
-            "INVITE" if hops_left(&request) == Some(0) => STATUS_TOO_MANY_HOPS,
-            "INVITE" => return self.invited(key, request),
+            "INVITE" if max_forwards(&request) == Some(0) => STATUS_TOO_MANY_HOPS,
+            "INVITE" => return self.start_call(key, request),
             "OPTIONS" if !self.driver.is_ready() => STATUS_SERVICE_UNAVAILABLE,
             "OPTIONS" => STATUS_OK,
             "BYE" => STATUS_NO_SUCH_CALL,
@@ -124,41 +130,41 @@
     }
 
     fn respond_with(&mut self, key: &ServerKey, request: &Message, status: u16) {
-        let response = self.reply(request, status);
+        let response = self.build_response(request, status);
         self.respond(key, response);
     }
 
-    /// Rejects a request that requires extensions; none is supported.
+    /// Rejects a request that requires extensions; none are supported.
     fn reject_extensions(&mut self, key: &ServerKey, request: &Message) {
-        let mut response = self.reply(request, STATUS_BAD_EXTENSION);
+        let mut response = self.build_response(request, STATUS_BAD_EXTENSION);
         response.add("Unsupported", request.get("Require").unwrap_or_default());
         self.respond(key, response);
     }
 
-    /// Whether the same request has arrived by another path (§8.2.2.2).
+    /// Whether the same request has arrived over another path (§8.2.2.2).
     fn is_merged(&self, request: &Message) -> bool {
         let same = |other: &Message| {
             other.get("Call-ID") == request.get("Call-ID")
                 && other.tag("From") == request.tag("From")
                 && other.cseq() == request.cseq()
         };
-        self.server_txns.values().any(|t| same(&t.request))
+        self.server_transactions.values().any(|t| same(&t.request))
     }
 
-    fn reply(&mut self, request: &Message, code: u16) -> Message {
-        let tag = self.new_name();
+    fn build_response(&mut self, request: &Message, code: u16) -> Message {
+        let tag = self.new_token();
         let mut response = Message::response(request, code, Some(&tag));
         if matches!(code, STATUS_OK | STATUS_METHOD_NOT_ALLOWED) {
-            response.add("Allow", ALLOW);
+            response.add("Allow", ALLOWED_METHODS);
         }
         if code == STATUS_SERVICE_UNAVAILABLE {
-            response.add("Retry-After", "1"); // seconds, the least that can be said
+            response.add("Retry-After", "1"); // seconds; the smallest value other than 0
         }
         response
     }
 
-    /// Starts a new call, or rejects an INVITE that does not describe one.
-    fn invited(&mut self, key: ServerKey, request: Rc<Message>) {
+    /// Starts a call for an INVITE, or rejects the INVITE if it is invalid.
+    fn start_call(&mut self, key: ServerKey, request: Rc<Message>) {
         let now = clock::now();
         let trying = Message::response(&request, 100, None);
         self.respond(&key, trying);
@@ -167,11 +173,11 @@
             Err(status) => return self.respond_with(&key, &request, status),
         };
         let time_left = self.time_left(&request);
-        self.next_call += 1;
-        let call = CallId(self.next_call);
+        self.last_call_id += 1;
+        let call = CallId(self.last_call_id);
         let setup = SetupRequest {
             call,
-            wire_id: session_name(&request).into(),
+            wire_id: session_id(&request).into(),
             class: target.class,
             number: target.number,
             dialled_number: target.dialled,
@@ -180,8 +186,8 @@
             is_redial: false,
             description: request.body.clone(),
         };
-        let tag = self.new_name();
-        let Some(transaction) = self.server_txns.get_mut(&key) else { return };
+        let tag = self.new_token();
+        let Some(transaction) = self.server_transactions.get_mut(&key) else { return };
         transaction.call = Some(call);
         let caller = Caller {
             peer: transaction.peer,
@@ -189,19 +195,19 @@
             request,
             class: target.class,
             tag,
-            due: now + time_left,
-            last_code: None,
-            answer_type: None,
+            deadline: now + time_left,
+            last_failure_status: None,
+            answer_content_type: None,
             dialog: None,
-            answer: None,
-            bytes: Bytes::new(),
-            over: false,
+            answer_retransmitter: None,
+            answer_bytes: Bytes::new(),
+            ended: false,
         };
         self.callers.insert(call, caller);
         self.feed(Input::SetupRequested(setup));
     }
 
-    /// Whom an INVITE calls, from its request URI; the status to reject it with if it is not a valid call.
+    /// The destination of an INVITE, from its Request-URI; the status to reject it with if it is not a valid call.
     fn call_target(&self, request: &Message) -> Result<CallTarget, u16> {
         let (user, _, params) = uri_parts(request.uri().unwrap_or_default());
         let value = |name: &str| param(&format!(";{params}"), name).map(str::to_string);
@@ -214,33 +220,35 @@
             None => 0,
         };
         let pool = value("pool").and_then(|pool| pool.parse().ok()).unwrap_or(ANY_POOL);
-        Ok(CallTarget { class, number: fold(user), dialled: user.into(), pool: PoolId(pool) })
+        Ok(CallTarget { class, number: hash_number(user), dialled: user.into(), pool: PoolId(pool) })
     }
 
-    /// The time in which an INVITE wants its answer: its Expires, within the configured limit.
+    /// The time limit for the set-up: the INVITE's Expires, up to the configured limit.
     fn time_left(&self, request: &Message) -> Micros {
         let expires = request.get("Expires").and_then(|e| e.trim().parse::<u64>().ok());
-        expires.map_or(self.wait, |seconds| seconds.saturating_mul(MICROS_PER_SECOND).min(self.wait))
+        expires.map_or(self.max_setup_time, |seconds| {
+            seconds.saturating_mul(MICROS_PER_SECOND).min(self.max_setup_time)
+        })
     }
 
-    /// CANCEL (§9.2): it ends an INVITE that has no final answer, and changes nothing else.
-    fn cancelled(&mut self, key: &ServerKey, invite: &ServerKey) {
-        let call = self.server_txns.get(invite).map(|t| (t.call, t.request.clone()));
-        let cancel = self.server_txns[key].request.clone();
-        let response = self.reply(&cancel, if call.is_some() { 200 } else { 481 });
+    /// Handles a CANCEL (§9.2): it ends an INVITE without a final response and has no other effect.
+    fn handle_cancel(&mut self, key: &ServerKey, invite_key: &ServerKey) {
+        let call = self.server_transactions.get(invite_key).map(|t| (t.call, t.request.clone()));
+        let cancel = self.server_transactions[key].request.clone();
+        let response = self.build_response(&cancel, if call.is_some() { 200 } else { 481 });
         self.respond(key, response);
         let Some((Some(call), request)) = call else { return };
         let Some(caller) = self.callers.get(&call) else { return };
         let terminated = Message::response(&request, 487, Some(&caller.tag));
-        // If the final answer has crossed the CANCEL, that answer stays; the caller ACKs it and says BYE.
-        if self.respond(invite, terminated) {
+        // If the final response crossed the CANCEL, that response remains valid; the caller sends its ACK and a BYE.
+        if self.respond(invite_key, terminated) {
             self.callers.remove(&call);
             self.feed(Input::SetupCancelled(call));
         }
     }
 
-    /// Progress at the server, on to the caller.
-    pub(super) fn progress(&mut self, call: CallId, code: u16) {
+    /// Forwards a provisional response of the server to the caller.
+    pub(super) fn forward_progress(&mut self, call: CallId, code: u16) {
         let Some(caller) = self.callers.get(&call) else { return };
         let (key, peer) = (caller.key.clone(), caller.peer);
         let mut response = Message::response(&caller.request, code, Some(&caller.tag));
@@ -248,14 +256,14 @@
         self.respond(&key, response);
     }
 
-    pub(super) fn answer(&mut self, call: CallId, description: Bytes) {
+    pub(super) fn send_answer(&mut self, call: CallId, description: Bytes) {
         let now = clock::now();
         let Some(caller) = self.callers.get(&call) else { return };
         let (key, request, peer) = (caller.key.clone(), caller.request.clone(), caller.peer);
         let mut response = Message::response(&request, 200, Some(&caller.tag));
         response.add("Contact", &self.contact(peer));
-        response.add("Allow", ALLOW);
-        if let Some(kind) = caller.answer_type.as_deref().filter(|_| !description.is_empty()) {
+        response.add("Allow", ALLOWED_METHODS);
+        if let Some(kind) = caller.answer_content_type.as_deref().filter(|_| !description.is_empty()) {
             response.add("Content-Type", kind);
         }
         response.body = description;
@@ -263,66 +271,67 @@
         let dialog_key = (request.get("Call-ID").unwrap_or_default().to_string(), caller.tag.clone());
         let bytes = response.to_bytes();
         self.respond(&key, response);
-        self.dialogs.insert(dialog_key, Owner::Caller(call));
+        self.dialogs.insert(dialog_key, DialogOwner::Caller(call));
         if let Some(caller) = self.callers.get_mut(&call) {
-            (caller.dialog, caller.bytes) = (dialog, bytes);
-            caller.answer = Some(AnswerRetransmitter::new(now, self.timers));
+            (caller.dialog, caller.answer_bytes) = (dialog, bytes);
+            caller.answer_retransmitter = Some(AnswerRetransmitter::new(now, self.timers));
         }
     }
 
-    /// 503 with Retry-After in whole seconds, never less than the wait.
-    pub(super) fn refuse(&mut self, call: CallId, wait: Micros) {
+    /// Rejects a call: 503 with Retry-After in seconds, rounded up.
+    pub(super) fn reject_call(&mut self, call: CallId, retry_after: Micros) {
         let Some(caller) = self.callers.remove(&call) else { return };
         let mut response = Message::response(&caller.request, 503, Some(&caller.tag));
-        if wait > 0 {
-            response.add("Retry-After", &wait.div_ceil(1_000_000).to_string());
+        if retry_after > 0 {
+            response.add("Retry-After", &retry_after.div_ceil(1_000_000).to_string());
         }
         self.respond(&caller.key, response);
     }
 
-    /// 408 once the caller's time is up; before, what the last server said, or 500.
-    pub(super) fn fail(&mut self, call: CallId) {
+    /// Fails a call: 408 after its deadline; before that, the status of the last server, or 500.
+    pub(super) fn fail_call(&mut self, call: CallId) {
         let Some(caller) = self.callers.remove(&call) else { return };
-        let late = clock::now() >= caller.due;
-        let code = if late { 408 } else { caller.last_code.unwrap_or(500) };
+        let late = clock::now() >= caller.deadline;
+        let code = if late { 408 } else { caller.last_failure_status.unwrap_or(500) };
         let response = Message::response(&caller.request, code, Some(&caller.tag));
         self.respond(&caller.key, response);
     }
 
-    /// A call that stood is over: BYE, as soon as the caller's ACK lets us.
-    pub(super) fn over(&mut self, call: CallId) {
+    /// Ends an established call with a BYE, which has to wait for the caller's ACK.
+    pub(super) fn end_call(&mut self, call: CallId) {
         let Some(caller) = self.callers.get_mut(&call) else { return };
-        caller.over = true;
-        if caller.answer.as_ref().is_none_or(AnswerRetransmitter::is_acked) {
-            self.bye_caller(call);
+        caller.ended = true;
+        if caller.answer_retransmitter.as_ref().is_none_or(AnswerRetransmitter::is_acked) {
+            self.end_caller_dialog(call);
         }
     }
 
-    fn bye_caller(&mut self, call: CallId) {
+    fn end_caller_dialog(&mut self, call: CallId) {
         let Some(mut caller) = self.callers.remove(&call) else { return };
         if let Some(dialog) = &mut caller.dialog {
             self.dialogs.remove(&(dialog.call_id.clone(), caller.tag));
-            self.bye(caller.peer, dialog);
+            self.send_bye(caller.peer, dialog);
         }
     }
 
-    /// The ACK of a 2xx: it has a branch of its own and is known by its dialog.
-    fn acked(&mut self, ack: &Message) {
+    /// Handles the ACK of a 2xx. It has its own branch, so the dialog identifies it.
+    fn handle_answer_ack(&mut self, ack: &Message) {
         let (Some(id), Some(tag)) = (ack.get("Call-ID"), ack.tag("To")) else { return };
-        let Some(Owner::Caller(call)) = self.dialogs.get(&(id.to_string(), tag.to_string())).copied() else {
+        let Some(DialogOwner::Caller(call)) = self.dialogs.get(&(id.to_string(), tag.to_string())).copied()
+        else {
             return;
         };
         let Some(caller) = self.callers.get_mut(&call) else { return };
-        if let Some(answer) = &mut caller.answer {
+        if let Some(answer) = &mut caller.answer_retransmitter {
             answer.on_ack();
         }
-        if caller.over {
-            self.bye_caller(call);
+        if caller.ended {
+            self.end_caller_dialog(call);
         }
     }
 
-    /// A request in a dialog, of a caller or of a server.
-    fn in_dialog(&mut self, key: &ServerKey, request: &Message) {
+    /// Handles a request in a dialog with a caller or a server.
+    fn handle_in_dialog_request(&mut self, key: &ServerKey, request: &Message) {
         let id = (
             request.get("Call-ID").unwrap_or_default().to_string(),
             request.tag("To").unwrap_or_default().to_string(),
@@ -330,22 +339,22 @@
         let owner = self.dialogs.get(&id).copied();
         let seq = request.cseq().map_or(0, |(n, _)| n);
         let dialog = match owner {
-            Some(Owner::Caller(call)) => self.callers.get_mut(&call).and_then(|c| c.dialog.as_mut()),
-            Some(Owner::Leg(attempt)) => self.legs.get_mut(&attempt).and_then(|l| l.dialog.as_mut()),
+            Some(DialogOwner::Caller(call)) => self.callers.get_mut(&call).and_then(|c| c.dialog.as_mut()),
+            Some(DialogOwner::Leg(attempt)) => self.legs.get_mut(&attempt).and_then(|l| l.dialog.as_mut()),
             None => None,
         };
-        let known = dialog.filter(|d| param(&d.remote, "tag") == request.tag("From"));
-        let code = match (known.map(|d| d.accept_sequence_number(seq)), request.method()) {
+        let matching = dialog.filter(|d| param(&d.remote, "tag") == request.tag("From"));
+        let code = match (matching.map(|d| d.accept_sequence_number(seq)), request.method()) {
             (None, _) => 481,
             (Some(false), _) => 500,
             (Some(true), Some("BYE" | "OPTIONS")) => 200,
-            // A call's description does not change while it stands.
+            // The session description of an established call cannot be changed.
             (Some(true), Some("INVITE")) => 488,
             (Some(true), _) => 405,
         };
         let mut response = Message::response(request, code, None);
         if matches!(code, STATUS_OK | STATUS_METHOD_NOT_ALLOWED) {
-            response.add("Allow", ALLOW);
+            response.add("Allow", ALLOWED_METHODS);
         }
         self.respond(key, response);
         if (code, request.method()) != (200, Some("BYE")) {
@@ -353,12 +362,12 @@
         }
         self.dialogs.remove(&id);
         match owner {
-            Some(Owner::Caller(call)) => {
+            Some(DialogOwner::Caller(call)) => {
                 self.callers.remove(&call);
                 self.feed(Input::CallReleased(call));
             }
-            Some(Owner::Leg(attempt)) => {
-                self.leg_over(attempt);
+            Some(DialogOwner::Leg(attempt)) => {
+                self.end_leg(attempt);
                 let (outcome, cause, load) = (Outcome::Completed, Cause::Unspecified, LoadReport::default());
                 self.feed(Input::AttemptEnded { attempt, outcome, cause, load });
             }
@@ -366,27 +375,27 @@
         }
     }
 
-    /// Repeats answers whose ACK has not come, and ends calls whose ACK never came (§13.3.1.4).
-    pub(super) fn care_for_callers(&mut self, now: Micros) {
-        let mut unheard = Vec::new();
+    /// Retransmits answers without an ACK, and ends calls whose ACK never arrives (§13.3.1.4).
+    pub(super) fn run_caller_timers(&mut self, now: Micros) {
+        let mut unacknowledged = Vec::new();
         for (call, caller) in &mut self.callers {
-            let Some(answer) = &mut caller.answer else { continue };
+            let Some(answer) = &mut caller.answer_retransmitter else { continue };
             match answer.tick(now) {
                 TimerAction::Retransmit => {
-                    caller.peer = self.transport.send(caller.peer, "", caller.bytes.clone());
+                    caller.peer = self.transport.send(caller.peer, "", caller.answer_bytes.clone());
                 }
-                TimerAction::TimedOut => unheard.push(*call),
+                TimerAction::TimedOut => unacknowledged.push(*call),
                 TimerAction::Nothing => {}
             }
         }
-        for call in unheard {
-            self.bye_caller(call);
+        for call in unacknowledged {
+            self.end_caller_dialog(call);
             self.feed(Input::CallReleased(call));
         }
     }
 }
 
-/// The number called, as the module knows numbers (FNV-1a).
-fn fold(user: &str) -> Number {
+/// Hash of the dialled number (FNV-1a), by which the core identifies a number.
+fn hash_number(user: &str) -> Number {
     Number(user.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ b as u64).wrapping_mul(0x0100_0000_01b3)))
 }
--- a/src/sip/dialog.rs
+++ b/src/sip/dialog.rs
@@ -1,28 +1,28 @@
-//! Dialogs (RFC 3261 §12): what both ends know of each other, and the requests made from it.
+//! Dialogs (RFC 3261 §12): the state shared with a peer, and the requests sent in the dialog.
 
 use super::message::{Message, address, split_list};
 
-/// One of the two dialogs of a call: towards its caller, or towards its server.
+/// One of the two dialogs of a call: with its caller or with its server.
 #[derive(Clone, Debug)]
 pub struct Dialog {
     /// Call-ID.
     pub call_id: String,
-    /// Our From or To value, with our tag.
+    /// Our From or To value, including our tag.
     pub local: String,
-    /// The peer's, with its tag.
+    /// The peer's From or To value, including its tag.
     pub remote: String,
-    /// The peer's Contact: where requests go.
+    /// The URI of the peer's Contact, to which requests are sent.
     pub remote_target: String,
-    /// The route set, in the order in which requests carry it.
+    /// The route set, in the order of the Route header fields of requests.
     pub route_set: Vec<String>,
-    /// Our last CSeq number.
+    /// The CSeq number of our last request.
     pub local_seq: u32,
-    /// The peer's last CSeq number.
+    /// The CSeq number of the peer's last request.
     pub remote_seq: u32,
 }
 
 impl Dialog {
-    /// The dialog that our 2xx to an INVITE makes (§12.1.1).
+    /// The dialog that our 2xx response to an INVITE establishes (§12.1.1).
     pub fn as_server(invite: &Message, answer: &Message) -> Option<Dialog> {
         Some(Dialog {
             call_id: invite.get("Call-ID")?.to_string(),
@@ -35,7 +35,7 @@
         })
     }
 
-    /// The dialog that a peer's 2xx to our INVITE makes (§12.1.2).
+    /// The dialog that a peer's 2xx response to our INVITE establishes (§12.1.2).
     pub fn as_client(invite: &Message, answer: &Message) -> Option<Dialog> {
         let mut route: Vec<String> = record_routes(answer).collect();
         route.reverse();
@@ -51,7 +51,8 @@
         })
     }
 
-    /// A request in the dialog (§12.2.1.1), without its Via. The ACK of a 2xx has its INVITE's number.
+    /// Builds a request in the dialog (§12.2.1.1), without its Via. The ACK of a 2xx has the CSeq number of its
+    /// INVITE.
     pub fn request(&mut self, method: &str) -> Message {
         if method != "ACK" {
             self.local_seq += 1;
@@ -68,7 +69,7 @@
         request
     }
 
-    /// Takes the number of a request of the peer; false if it is older than one before (§12.2.2).
+    /// Records the CSeq number of a request of the peer; false if it is not higher than the previous one (§12.2.2).
     pub fn accept_sequence_number(&mut self, seq: u32) -> bool {
         let in_order = self.remote_seq == 0 || seq > self.remote_seq;
         self.remote_seq = self.remote_seq.max(seq);
--- a/src/sip/message.rs
+++ b/src/sip/message.rs
@@ -1,13 +1,13 @@
-//! SIP messages (RFC 3261 §7, §20, §25): reading, writing, and the parts of header fields that are used here.
+//! SIP messages (RFC 3261 §7, §20, §25): parsing, serialization, and access to the header fields used here.
 
 use bytes::{Buf, Bytes, BytesMut};
 
-/// The longest head of a message, and the longest body.
+/// Upper limit for the size of a message's head, that is, the start line and the header fields.
 pub const MAX_HEAD_BYTES: usize = 32 * 1024;
-/// See [`MAX_HEAD_BYTES`].
+/// Upper limit for the size of a message's body.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// The first line.
+/// The start line of a message.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StartLine {
     /// A request: method and Request-URI.
@@ -16,25 +16,25 @@
     Status(u16, String),
 }
 
-/// A message. Header names are in their long form; their order is kept.
+/// A SIP message. Header names are in their long form, and header fields keep their order.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
-    /// The first line.
+    /// The start line.
     pub start: StartLine,
-    /// The header fields.
+    /// Names and values of the header fields.
     pub headers: Vec<(String, String)>,
     /// The body.
     pub body: Bytes,
 }
 
-/// What stands at the front of a stream.
+/// Result of reading the front of a stream's buffer.
 #[derive(Debug)]
 pub enum Framed {
-    /// A message, well-formed as far as framing goes.
+    /// A complete message; only its framing has been checked.
     Message(Message),
-    /// No whole message yet.
+    /// The message is not complete yet.
     Incomplete,
-    /// No message can be made out any more: the stream is of no use.
+    /// Invalid data: no further message can be read from the stream.
     Invalid,
 }
 
@@ -45,8 +45,8 @@
         Message { start, headers: Vec::new(), body: Bytes::new() }
     }
 
-    /// A response to a request (§8.2.6): Via, From, To, Call-ID and CSeq are the request's; `to_tag` is added
-    /// where the request had none.
+    /// A response to a request (§8.2.6). Via, From, To, Call-ID and CSeq are copied from the request; `to_tag` is
+    /// added to To if the request had no tag there.
     pub fn response(request: &Message, code: u16, to_tag: Option<&str>) -> Message {
         let start = StartLine::Status(code, reason_phrase(code).to_string());
         let mut message = Message { start, headers: Vec::new(), body: Bytes::new() };
@@ -69,53 +69,53 @@
         self.headers.push((name.to_string(), value.to_string()));
     }
 
-    /// The first header field of a name.
+    /// The first header field with this name.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
     }
 
-    /// All header fields of a name.
+    /// All header fields with this name.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> + 'a {
         self.headers.iter().filter(move |(n, _)| n == name).map(|(_, v)| v.as_str())
     }
 
-    /// Method, for a request.
+    /// The method of a request.
     pub fn method(&self) -> Option<&str> {
         if let StartLine::Request(method, _) = &self.start { Some(method) } else { None }
     }
 
-    /// Request-URI, for a request.
+    /// The Request-URI of a request.
     pub fn uri(&self) -> Option<&str> {
         if let StartLine::Request(_, uri) = &self.start { Some(uri) } else { None }
     }
 
-    /// Status code, for a response.
+    /// The status code of a response.
     pub fn code(&self) -> Option<u16> {
         if let StartLine::Status(code, _) = &self.start { Some(*code) } else { None }
     }
 
-    /// Number and method of the CSeq header field.
+    /// Sequence number and method of the CSeq header field.
     pub fn cseq(&self) -> Option<(u32, &str)> {
         let (number, method) = self.get("CSeq")?.split_once(char::is_whitespace)?;
         Some((number.parse().ok()?, method.trim()))
     }
 
-    /// The topmost Via's value.
+    /// The value of the topmost Via.
     pub fn top_via(&self) -> Option<&str> {
         self.get("Via").and_then(|v| split_list(v).next())
     }
 
-    /// The topmost Via's branch.
+    /// The branch parameter of the topmost Via.
     pub fn branch(&self) -> Option<&str> {
         self.top_via().and_then(|v| param(v, "branch"))
     }
 
-    /// The tag of From or To.
+    /// The tag parameter of From or To.
     pub fn tag(&self, name: &str) -> Option<&str> {
         self.get(name).and_then(|v| param(v, "tag"))
     }
 
-    /// Sets the topmost Via's value.
+    /// Replaces the value of the topmost Via.
     pub fn set_top_via(&mut self, value: &str) {
         if let Some((_, via)) = self.headers.iter_mut().find(|(n, _)| n == "Via") {
             let rest: Vec<&str> = split_list(via).skip(1).collect();
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Writes the message.
+    /// Serializes the message.
     pub fn to_bytes(&self) -> Bytes {
         let mut out = match &self.start {
             StartLine::Request(method, uri) => format!("{method} {uri} SIP/2.0\r\n"),
@@ -138,42 +138,42 @@
         bytes.into()
     }
 
-    /// What is wrong with a message whose framing was sound (§8.1.1, §8.2); `None` if nothing is.
+    /// Describes the first violation of §8.1.1 or §8.2 in a correctly framed message; `None` for a valid message.
     pub fn validation_error(&self) -> Option<&'static str> {
         for name in ["Via", "From", "To", "Call-ID", "CSeq"] {
             if self.get(name).is_none_or(str::is_empty) {
                 return Some("a mandatory header field is missing");
             }
             if name != "Via" && self.all(name).count() > 1 {
-                return Some("a header field stands twice");
+                return Some("a header field occurs more than once");
             }
         }
-        let Some((number, method)) = self.cseq() else { return Some("CSeq cannot be read") };
+        let Some((number, method)) = self.cseq() else { return Some("CSeq is invalid") };
         if number > i32::MAX as u32 {
             return Some("the CSeq number is too large");
         }
         if self.top_via().and_then(sent_by).is_none() {
-            return Some("Via cannot be read");
+            return Some("Via is invalid");
         }
         if self.tag("From").is_none() {
             return Some("From has no tag");
         }
         if let StartLine::Request(own, uri) = &self.start {
             if own != method {
-                return Some("CSeq names another method");
+                return Some("the CSeq method differs from the request method");
             }
             if self.branch().is_none_or(|b| !b.starts_with("z9hG4bK")) {
-                return Some("Via has no RFC 3261 branch");
+                return Some("the Via branch does not start with z9hG4bK");
             }
             if !uri.contains(':') {
-                return Some("the Request-URI cannot be read");
+                return Some("the Request-URI is invalid");
             }
         }
         None
     }
 }
 
-/// Reads a datagram; `None` if it is no SIP message. Bytes past Content-Length are dropped (§18.3).
+/// Parses a datagram; `None` if it is not a SIP message. Bytes after Content-Length are ignored (§18.3).
 pub fn read_datagram(bytes: &[u8]) -> Option<Result<Message, Message>> {
     let start = bytes.iter().position(|b| !b.is_ascii_whitespace())?;
     let bytes = &bytes[start..];
@@ -193,10 +193,10 @@
     }
 }
 
-/// Takes the next message out of a stream's buffer; Content-Length frames it (§18.3).
+/// Removes the next message from a stream's buffer; Content-Length delimits it (§18.3).
 pub fn take_message(buffer: &mut BytesMut) -> Framed {
     while buffer.first().is_some_and(u8::is_ascii_whitespace) {
-        buffer.advance(1); // a keep-alive between messages
+        buffer.advance(1); // keep-alive between messages
     }
     let Some(head) = find_head(buffer) else {
         return if buffer.len() > MAX_HEAD_BYTES { Framed::Invalid } else { Framed::Incomplete };
@@ -254,7 +254,7 @@
     Some(Message { start, headers, body: Bytes::new() })
 }
 
-/// Names are compared without case and compact forms stand for long ones (§7.3.3).
+/// The long form of a header name; names are case-insensitive and may be abbreviated (§7.3.3).
 fn long_header_name(name: &str) -> String {
     const HEADER_NAMES: [(Option<&str>, &str); 17] = [
         (Some("v"), "Via"),
@@ -280,7 +280,7 @@
     known.map_or_else(|| name.to_string(), |(_, long)| long.to_string())
 }
 
-/// The parts of a header field that lists values, split at commas outside quotes and angle brackets.
+/// The elements of a comma-separated header field; commas in quotes or angle brackets do not separate.
 pub fn split_list(value: &str) -> impl Iterator<Item = &str> {
     let (mut quoted, mut angle) = (false, false);
     let parts = value.split(move |c| {
@@ -295,7 +295,7 @@
     parts.map(str::trim).filter(|p| !p.is_empty())
 }
 
-/// A parameter of a header field's value, outside its address.
+/// A parameter of a header field's value; parameters of the URI in angle brackets are not searched.
 pub fn param<'a>(value: &'a str, name: &str) -> Option<&'a str> {
     let outside = value.rsplit_once('>').map_or(value, |(_, rest)| rest);
     outside.split(';').skip(1).find_map(|part| {
@@ -304,7 +304,7 @@
     })
 }
 
-/// The address in a From, To or Contact value.
+/// The URI in a From, To or Contact value.
 pub fn address(value: &str) -> &str {
     match value.split_once('<').and_then(|(_, rest)| rest.split_once('>')) {
         Some((address, _)) => address.trim(),
@@ -312,7 +312,7 @@
     }
 }
 
-/// Host and port of a Via value; the port is 5060 where none stands.
+/// Host and port of a Via value; the port is 5060 if none is given.
 pub fn sent_by(via: &str) -> Option<(&str, u16)> {
     let (protocol, rest) = via.split_once(char::is_whitespace)?;
     if !protocol.starts_with("SIP/2.0/") {
@@ -321,7 +321,7 @@
     host_port(rest.split(';').next()?.trim())
 }
 
-/// Splits host and port.
+/// Splits host and port; the port is 5060 if none is given.
 pub fn host_port(text: &str) -> Option<(&str, u16)> {
     let (host, port) = match text.rsplit_once(':').filter(|(h, _)| !h.contains(':') || h.ends_with(']')) {
         Some((host, port)) => (host, port.trim().parse().ok()?),
@@ -330,7 +330,7 @@
     (!host.trim().is_empty()).then(|| (host.trim(), port))
 }
 
-/// User and host part of a SIP URI, with the URI's parameters behind.
+/// User, host part and parameters of a SIP URI.
 pub fn uri_parts(uri: &str) -> (Option<&str>, &str, &str) {
     let rest = uri.split_once(':').map_or(uri, |(_, rest)| rest);
     let rest = rest.split('?').next().unwrap_or(rest);
--- a/src/sip/mod.rs
+++ b/src/sip/mod.rs
@@ -1,8 +1,8 @@
-//! The SIP frontend: a back-to-back user agent (RFC 3261) whose calls pass the core that the platform's frontend uses.
+//! The SIP frontend: a back-to-back user agent (RFC 3261) on the same gateway core as the platform frontend.
 //!
-//! Towards callers it is a user agent server (`clients`), towards servers a user agent client (`servers`); each
-//! attempt has a Call-ID of its own, so that a late message of an old attempt is never taken for a new one's.
-//! `message`, `transport`, `transaction` and `dialog` are the layers of the RFC.
+//! It is a user agent server towards callers (`clients`) and a user agent client towards servers (`servers`). Each
+//! attempt has its own Call-ID, so that a late message of an earlier attempt cannot be attributed to a later one.
+//! `message`, `transport`, `transaction` and `dialog` implement the layers of the RFC.
 
 mod clients;
 pub mod dialog;
@@ -38,32 +38,32 @@
 use transaction::{ClientMachine, ServerMachine, TimerAction, Timers};
 use transport::{Peer, Transport};
 
-/// What we do for a request, by its method.
-const ALLOW: &str = "INVITE, ACK, CANCEL, BYE, OPTIONS";
+/// The supported methods, for the Allow header field.
+const ALLOWED_METHODS: &str = "INVITE, ACK, CANCEL, BYE, OPTIONS";
 
 type Shared = Rc<RefCell<SipFrontend>>;
 
-/// A server transaction's key (§17.2.3): branch, sent-by, and method.
+/// Key of a server transaction (§17.2.3): branch, sent-by and method.
 type ServerKey = (String, String, String);
-/// A client transaction's key (§17.1.3): branch and method.
+/// Key of a client transaction (§17.1.3): branch and method.
 type ClientKey = (String, String);
-/// A dialog's key: Call-ID and our own tag.
+/// Key of a dialog: Call-ID and local tag.
 type DialogKey = (String, String);
 
-/// Whose dialog it is.
+/// The party at the other end of a dialog.
 #[derive(Clone, Copy, Debug)]
-enum Owner {
+enum DialogOwner {
     Caller(CallId),
     Leg(AttemptId),
 }
 
-/// What a client transaction is for.
+/// Purpose of a client transaction.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Purpose {
     Invite(AttemptId),
     Probe(ServerId),
-    /// CANCEL and BYE: whatever the answer, there is nothing more to do.
-    Plain,
+    /// CANCEL or BYE: the response has no effect.
+    IgnoreResponse,
 }
 
 struct ClientTransaction {
@@ -72,45 +72,45 @@
     peer: Peer,
     request: Message,
     bytes: Bytes,
-    /// The ACK of its final response, where that was not a 2xx.
+    /// The ACK of a final response other than 2xx.
     ack: Option<Bytes>,
-    /// How often it has moved to another connection because its own ended.
-    moves: u32,
+    /// How often the request was resent because its connection ended.
+    reconnects: u32,
 }
 
 struct ServerTransaction {
     machine: ServerMachine,
     peer: Peer,
     request: Rc<Message>,
-    last: Bytes,
+    last_response: Bytes,
     call: Option<CallId>,
 }
 
-/// The frontend's state; one task at a time has it, and none keeps it while it waits.
+/// State of the frontend. One task at a time borrows it, and no task holds the borrow across an await.
 pub struct SipFrontend {
     driver: Driver,
     directory: Directory,
     transport: Transport,
     timers: Timers,
-    /// Servers are spoken to over TCP.
-    over_tcp: bool,
-    wait: Micros,
+    /// Whether servers are reached over TCP; otherwise over UDP.
+    servers_use_tcp: bool,
+    max_setup_time: Micros,
     drain_grace: Micros,
     classes: Vec<String>,
-    server_txns: HashMap<ServerKey, ServerTransaction>,
-    client_txns: HashMap<ClientKey, ClientTransaction>,
-    dialogs: HashMap<DialogKey, Owner>,
+    server_transactions: HashMap<ServerKey, ServerTransaction>,
+    client_transactions: HashMap<ClientKey, ClientTransaction>,
+    dialogs: HashMap<DialogKey, DialogOwner>,
     callers: HashMap<CallId, Caller>,
     legs: BTreeMap<AttemptId, Leg>,
     probes: BTreeMap<ServerId, Micros>,
-    /// When servers were told to be gone, and when their calls count as cut.
-    gone: BTreeMap<ServerId, (Micros, Micros)>,
-    next_call: u64,
-    names: u64,
-    me: Weak<RefCell<SipFrontend>>,
+    /// Servers removed from the list: when they were removed, and when their calls count as lost.
+    removed_servers: BTreeMap<ServerId, (Micros, Micros)>,
+    last_call_id: u64,
+    token_state: u64,
+    weak_self: Weak<RefCell<SipFrontend>>,
 }
 
-/// An address for SIP cannot be listened on.
+/// A listening socket for SIP could not be opened.
 #[derive(Debug, thiserror::Error)]
 #[error("cannot listen on {transport}: {source}")]
 pub struct ListenError {
@@ -118,7 +118,8 @@
     source: std::io::Error,
 }
 
-/// Serves until it is told to stop and has nothing left to do. `resolver` tells whom to ask for the list.
+/// Serves until `stop` completes and no call is left. `resolver` holds the address of the DNS server for the server
+/// list.
 pub async fn serve(
     config: SipConfig,
     resolver: watch::Receiver<SocketAddr>,
@@ -126,28 +127,28 @@
     admin: Rc<AdminService>,
     stop: impl Future<Output = ()>,
 ) -> Result<(), ListenError> {
-    let named = |transport, source| ListenError { transport, source };
-    let udp = UdpSocket::bind(config.udp).await.map_err(|e| named("udp", e))?;
-    let tcp = TcpListener::bind(config.tcp).await.map_err(|e| named("tcp", e))?;
+    let listen_error = |transport, source| ListenError { transport, source };
+    let udp = UdpSocket::bind(config.udp).await.map_err(|e| listen_error("udp", e))?;
+    let tcp = TcpListener::bind(config.tcp).await.map_err(|e| listen_error("tcp", e))?;
     let (udp_address, tcp_address) = (udp.local_addr(), tcp.local_addr());
-    let udp_address = udp_address.map_err(|e| named("udp", e))?;
-    let tcp_address = tcp_address.map_err(|e| named("tcp", e))?;
+    let udp_address = udp_address.map_err(|e| listen_error("udp", e))?;
+    let tcp_address = tcp_address.map_err(|e| listen_error("tcp", e))?;
     tracing::info!(name = config.name, udp = %udp_address, tcp = %tcp_address, "serves SIP");
     let udp = Rc::new(udp);
-    let dial = Duration::from_micros(config.dial_timeout.max(1_000));
-    let transport = Transport::new(udp.clone(), udp_address, tcp_address, dial);
+    let dial_timeout = Duration::from_micros(config.dial_timeout.max(1_000));
+    let transport = Transport::new(udp.clone(), udp_address, tcp_address, dial_timeout);
     let frontend = SipFrontend::start(&config, plan.borrow().clone(), transport);
-    let follow = async {
+    let follow_list = async {
         let service = resolver::Service::DnsSd(config.service.clone());
-        let on_list = |asked, _, list| frontend.borrow_mut().take_list(asked, list);
-        let heard = frontend.borrow().driver.last_list_response_at.clone();
-        resolver::follow(resolver, service, None, &heard, on_list).await;
+        let on_list = |notified_at, _, list| frontend.borrow_mut().apply_list(notified_at, list);
+        let last_response_at = frontend.borrow().driver.last_list_response_at.clone();
+        resolver::follow(resolver, service, None, &last_response_at, on_list).await;
     };
     let tasks = async {
         tokio::join!(
             transport::read_datagrams(frontend.clone(), udp),
-            transport::accept(frontend.clone(), tcp),
-            follow,
+            transport::accept_connections(frontend.clone(), tcp),
+            follow_list,
             driver::follow_limits(&frontend, plan)
         )
     };
@@ -166,102 +167,112 @@
                 directory: Directory::default(),
                 transport,
                 timers: Timers { t1: config.t1 },
-                over_tcp: config.service.split('.').any(|label| label == "_tcp"),
-                wait: config.wait,
+                servers_use_tcp: config.service.split('.').any(|label| label == "_tcp"),
+                max_setup_time: config.wait,
                 drain_grace: config.settings.rules.drain_grace,
                 classes: config.classes.clone(),
-                server_txns: HashMap::new(),
-                client_txns: HashMap::new(),
+                server_transactions: HashMap::new(),
+                client_transactions: HashMap::new(),
                 dialogs: HashMap::new(),
                 callers: HashMap::new(),
                 legs: BTreeMap::new(),
                 probes: BTreeMap::new(),
-                gone: BTreeMap::new(),
-                next_call: 0,
-                names: config.seed ^ clock::now(),
-                me: me.clone(),
+                removed_servers: BTreeMap::new(),
+                last_call_id: 0,
+                token_state: config.seed ^ clock::now(),
+                weak_self: me.clone(),
             })
         })
     }
 
     fn shared(&self) -> Shared {
-        self.me.upgrade().expect("the frontend is only reached through its shared handle")
+        self.weak_self.upgrade().expect("the frontend is only reached through its shared handle")
     }
 
-    /// A name that was not used before, for tags, branches and Call-IDs (splitmix64).
-    fn new_name(&mut self) -> String {
-        self.names = self.names.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut z = self.names;
+    /// A unique token for tags, branches and Call-IDs (splitmix64).
+    fn new_token(&mut self) -> String {
+        self.token_state = self.token_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mut z = self.token_state;
         z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         format!("{:016x}", z ^ (z >> 31))
     }
 
-    fn take_list(&mut self, told: Micros, list: Vec<ListedServer>) {
+    fn apply_list(&mut self, notified_at: Micros, list: Vec<ListedServer>) {
         let now = clock::now();
         let scope = EndpointListScope::Complete;
         self.driver.list_received_at = Some(now);
         let (entries, changes) = self.directory.apply(scope, list);
         for server in self.directory.servers().collect::<Vec<_>>() {
-            // It is another process: what the one before held is cut, and nothing of what comes now.
-            if let Some((at, _)) = self.gone.remove(&server) {
-                self.lost(server, at);
+            // A new process at the address: the calls of the previous one are lost, new calls are not affected.
+            if let Some((at, _)) = self.removed_servers.remove(&server) {
+                self.server_terminated(server, at);
             }
         }
-        self.feed(Input::EndpointList { notified_at: told, scope, entries });
+        self.feed(Input::EndpointList { notified_at, scope, entries });
         for server in &changes.closed {
-            tracing::info!(server = self.directory.name(*server), "takes nothing new");
-            self.stop_repeats(*server, told);
+            tracing::info!(
+                server = self.directory.name(*server),
+                "server is draining; no new calls are sent to it"
+            );
+            self.limit_retransmissions(*server, notified_at);
         }
         for (server, at) in &changes.restarted {
-            self.lost(*server, *at);
+            self.server_terminated(*server, *at);
         }
         for server in &changes.removed {
-            self.gone.insert(*server, (now, now + servers::LAST_RELEASES));
+            self.removed_servers.insert(*server, (now, now + servers::RELEASE_GRACE));
         }
     }
 
-    /// A server's process has ended: nothing more is to be sent to what it held.
-    fn lost(&mut self, server: ServerId, at: Micros) {
-        self.forget_legs(server, at);
+    /// Handles the end of a server's process: its legs are removed without further requests to it.
+    fn server_terminated(&mut self, server: ServerId, at: Micros) {
+        self.remove_legs_sent_before(server, at);
         self.feed(Input::ServerTerminated { server, at });
     }
 
     // ---- Transactions ----
 
-    /// Takes a message that could be framed.
-    fn received(&mut self, from: Peer, message: Message) {
+    /// Handles a correctly framed message.
+    fn handle_message(&mut self, from: Peer, message: Message) {
         match (message.validation_error(), message.method().is_some()) {
-            (Some(_), true) => self.malformed(from, message),
-            (None, true) => self.request(from, message),
-            (None, false) => self.response(message),
-            (Some(_), false) => {} // nobody can be told
+            (Some(_), true) => self.reject_malformed(from, message),
+            (None, true) => self.handle_request(from, message),
+            (None, false) => self.handle_response(message),
+            (Some(_), false) => {} // a response cannot be answered
         }
         self.start_dials();
     }
 
-    /// Answers 400 to a request whose sender can be told, and drops the rest. An ACK has no answer.
-    fn malformed(&mut self, from: Peer, mut message: Message) {
-        let told = message.method().is_some_and(|m| m != "ACK") && message.get("CSeq").is_some();
-        if !told || message.top_via().and_then(message::sent_by).is_none() {
+    /// Responds 400 to an invalid request, or drops it if no response can be addressed. An ACK is never answered.
+    fn reject_malformed(&mut self, from: Peer, mut message: Message) {
+        let answerable = message.method().is_some_and(|m| m != "ACK") && message.get("CSeq").is_some();
+        if !answerable || message.top_via().and_then(message::sent_by).is_none() {
             return;
         }
-        let to = note_source(&mut message, from);
-        let tag = self.new_name();
+        let to = record_source(&mut message, from);
+        let tag = self.new_token();
         let response = Message::response(&message, 400, Some(&tag));
         self.transport.send(to, "", response.to_bytes());
     }
 
-    /// Sends a request in a client transaction of its own; the Via is put on top here.
-    fn start_client(&mut self, peer: Peer, mut request: Message, purpose: Purpose, branch: String) {
+    /// Sends a request in a new client transaction and adds its Via.
+    fn start_client_transaction(
+        &mut self,
+        peer: Peer,
+        mut request: Message,
+        purpose: Purpose,
+        branch: String,
+    ) {
         let now = clock::now();
         let method = request.method().unwrap_or_default().to_string();
         request.headers.insert(0, ("Via".to_string(), self.via(peer, &branch)));
         let bytes = request.to_bytes();
         let peer = self.transport.send(peer, &branch, bytes.clone());
         let machine = ClientMachine::new(now, method == "INVITE", peer.reliable(), self.timers);
-        let transaction = ClientTransaction { machine, purpose, peer, request, bytes, ack: None, moves: 0 };
-        self.client_txns.insert((branch, method), transaction);
+        let transaction =
+            ClientTransaction { machine, purpose, peer, request, bytes, ack: None, reconnects: 0 };
+        self.client_transactions.insert((branch, method), transaction);
     }
 
     fn via(&self, peer: Peer, branch: &str) -> String {
@@ -279,53 +290,53 @@
     }
 
     fn new_branch(&mut self) -> String {
-        format!("z9hG4bK{}", self.new_name())
+        format!("z9hG4bK{}", self.new_token())
     }
 
-    /// Sends a request of a dialog, that the core does not track: a BYE.
-    fn bye(&mut self, peer: Peer, dialog: &mut Dialog) {
+    /// Sends a BYE. The core does not track its outcome.
+    fn send_bye(&mut self, peer: Peer, dialog: &mut Dialog) {
         let branch = self.new_branch();
         let request = dialog.request("BYE");
-        self.start_client(peer, request, Purpose::Plain, branch);
+        self.start_client_transaction(peer, request, Purpose::IgnoreResponse, branch);
     }
 
-    /// Sends a response in its server transaction, unless that has had its final one.
+    /// Sends a response in its server transaction; false if a final response has already been sent.
     fn respond(&mut self, key: &ServerKey, response: Message) -> bool {
         let now = clock::now();
-        let Some(transaction) = self.server_txns.get_mut(key) else { return false };
+        let Some(transaction) = self.server_transactions.get_mut(key) else { return false };
         if !transaction.machine.respond(now, response.code().unwrap_or(500)) {
             return false;
         }
-        transaction.last = response.to_bytes();
-        transaction.peer = self.transport.send(transaction.peer, "", transaction.last.clone());
+        transaction.last_response = response.to_bytes();
+        transaction.peer = self.transport.send(transaction.peer, "", transaction.last_response.clone());
         true
     }
 
-    /// Runs the transactions' timers that are due.
-    fn care_for_transactions(&mut self, now: Micros) {
+    /// Runs the expired timers of all transactions.
+    fn run_transaction_timers(&mut self, now: Micros) {
         let due = |at: Option<Micros>| at.is_some_and(|at| at <= now);
         let clients: Vec<ClientKey> = self
-            .client_txns
+            .client_transactions
             .iter()
             .filter(|(_, t)| due(t.machine.next_timer_at()))
             .map(|(key, _)| key.clone())
             .collect();
         for key in clients {
-            self.client_tick(&key, now);
+            self.run_client_timer(&key, now);
         }
         let servers: Vec<ServerKey> = self
-            .server_txns
+            .server_transactions
             .iter()
             .filter(|(_, t)| due(t.machine.next_timer_at()))
             .map(|(key, _)| key.clone())
             .collect();
         for key in servers {
-            let Some(transaction) = self.server_txns.get_mut(&key) else { continue };
+            let Some(transaction) = self.server_transactions.get_mut(&key) else { continue };
             if transaction.machine.tick(now) == TimerAction::Retransmit {
-                self.transport.send(transaction.peer, "", transaction.last.clone());
+                self.transport.send(transaction.peer, "", transaction.last_response.clone());
             }
             if transaction.machine.state == transaction::State::Terminated {
-                self.server_txns.remove(&key);
+                self.server_transactions.remove(&key);
             }
         }
     }
@@ -340,17 +351,18 @@
 
     fn carry_out(&mut self, command: Command) {
         match command {
-            Command::SendAttempt { attempt, server, time_left: left, description } => {
-                self.invite(attempt, server, left, description);
+            Command::SendAttempt { attempt, server, time_left, description } => {
+                self.send_invite(attempt, server, time_left, description);
             }
-            Command::CancelAttempt { attempt, .. } => self.give_up(attempt),
-            Command::ReleaseAtServer { attempt, .. } => self.release(attempt),
-            Command::Accept { call, description } => self.answer(call, description),
-            Command::Reject { call, retry_after: wait } => self.refuse(call, wait),
-            Command::Fail { call } => self.fail(call),
-            Command::ReleaseToCaller { call, .. } => self.over(call),
-            Command::CheckHealth(server) => self.probe(server),
-            // Connections are shared by all that goes to an address; the host logs the rest.
+            Command::CancelAttempt { attempt, .. } => self.abandon_attempt(attempt),
+            Command::ReleaseAtServer { attempt, .. } => self.release_leg(attempt),
+            Command::Accept { call, description } => self.send_answer(call, description),
+            Command::Reject { call, retry_after } => self.reject_call(call, retry_after),
+            Command::Fail { call } => self.fail_call(call),
+            Command::ReleaseToCaller { call, .. } => self.end_call(call),
+            Command::CheckHealth(server) => self.send_probe(server),
+            // Connections to an address are shared, so none is closed for a single call; the driver handles the
+            // other two.
             Command::CloseIdle(_) | Command::Log(_) | Command::ReportViolation(_) => {}
         }
         self.start_dials();
@@ -360,15 +372,16 @@
         self.driver.gateway.reject_new_calls(
             self.driver.serving_state.rejection_retry_after(now, ClientConnections::Shared),
         );
-        self.care_for_transactions(now);
-        self.care_for_callers(now);
-        self.care_for_legs(now);
+        self.run_transaction_timers(now);
+        self.run_caller_timers(now);
+        self.run_leg_timers(now);
         self.start_dials();
     }
 }
 
-/// Notes on a request's topmost Via where it came from (§18.2.1, RFC 3581) and says where its responses go.
-fn note_source(request: &mut Message, from: Peer) -> Peer {
+/// Adds the source address to the topmost Via of a request (§18.2.1, RFC 3581); returns the destination of its
+/// responses.
+fn record_source(request: &mut Message, from: Peer) -> Peer {
     let Some(via) = request.top_via().map(str::to_string) else { return from };
     let port = message::sent_by(&via).map_or(5060, |(_, port)| port);
     match from {
@@ -377,15 +390,15 @@
             let parts = via
                 .split(';')
                 .filter(|p| !p.trim().starts_with("rport") && !p.trim().starts_with("received"));
-            let mut noted = parts.collect::<Vec<_>>().join(";");
-            noted.push_str(&format!(";received={}", source.ip()));
+            let mut updated_via = parts.collect::<Vec<_>>().join(";");
+            updated_via.push_str(&format!(";received={}", source.ip()));
             if wants_port {
-                noted.push_str(&format!(";rport={}", source.port()));
+                updated_via.push_str(&format!(";rport={}", source.port()));
             }
-            request.set_top_via(&noted);
+            request.set_top_via(&updated_via);
             Peer::Udp((source.ip(), if wants_port { source.port() } else { port }).into())
         }
-        // The connection is used while it is open; then sent-by is dialled (§18.2.2).
+        // The connection is used while it is open; after that, sent-by is dialled (§18.2.2).
         Peer::Tcp(source, conn) => Peer::Tcp((source.ip(), port).into(), conn),
     }
 }
--- a/src/sip/transaction.rs
+++ b/src/sip/transaction.rs
@@ -1,94 +1,94 @@
-//! The transaction machines of RFC 3261 §17, with the Accepted states of RFC 6026. Timers are data: each machine
-//! says when it next wants a tick and what is to be done then; nothing here sends or sleeps.
+//! State machines of RFC 3261 §17 transactions, with the Accepted states of RFC 6026. They do no I/O and do not
+//! sleep: each one returns the time of its next timer and the action to take when the timer fires.
 
 use crate::Micros;
 
-/// The timer values of §17.1.1.1, all multiples of the first one.
+/// The timer values of §17.1.1.1, all multiples of T1.
 #[derive(Clone, Copy, Debug)]
 pub struct Timers {
-    /// T1: the round trip's estimate.
+    /// T1: estimate of the round-trip time.
     pub t1: Micros,
 }
 
 impl Timers {
-    /// T2: the longest interval between repeats.
+    /// T2: the longest interval between retransmissions.
     pub fn t2(&self) -> Micros {
         8 * self.t1
     }
 
-    /// T4: the longest time that a message stays in the network.
+    /// T4: the longest time that a message remains in the network.
     pub fn t4(&self) -> Micros {
         10 * self.t1
     }
 
-    /// 64·T1: timers B, F, H, J, L and M.
+    /// 64·T1: duration of timers B, F, H, J, L and M.
     pub fn timeout(&self) -> Micros {
         64 * self.t1
     }
 }
 
-/// A retransmission that is due at a time, with the interval to the next one.
+/// A scheduled retransmission and the interval that precedes it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Retransmission {
     at: Micros,
     interval: Micros,
 }
 
-/// Where a transaction is.
+/// State of a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Client: Calling or Trying. Server: Trying.
+    /// Client: Calling (INVITE) or Trying. Server: no response sent yet.
     Trying,
-    /// A provisional response has passed.
+    /// A provisional response has been sent or received.
     Proceeding,
-    /// A final response other than an INVITE's 2xx has passed.
+    /// A final response other than a 2xx to an INVITE has been sent or received.
     Completed,
-    /// An INVITE's 2xx has passed (RFC 6026).
+    /// A 2xx to an INVITE has been sent or received (RFC 6026).
     Accepted,
-    /// Server: the ACK has come.
+    /// Server: the ACK has been received.
     Confirmed,
-    /// Over.
+    /// The transaction has ended.
     Terminated,
 }
 
-/// What a tick asks for.
+/// Action to take after a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TimerAction {
-    /// Send the last message again.
+    /// Retransmit the last message.
     Retransmit,
-    /// Client: no final response came. Server: no ACK came.
+    /// Client: no final response was received. Server: no ACK was received.
     TimedOut,
-    /// Nothing; the machine has moved on.
+    /// No action; the state may have changed.
     Nothing,
 }
 
-/// What a client transaction makes of a response.
+/// Action to take after a response to a client transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseAction {
-    /// Pass it up.
+    /// Pass the response to the transaction user.
     PassUp,
-    /// A retransmission of the final response: send the ACK again, pass nothing up.
+    /// A retransmitted final response: send the ACK again, do not pass the response on.
     ResendAck,
-    /// Drop it.
+    /// Discard the response.
     Drop,
 }
 
-/// A client transaction, INVITE (§17.1.1) or other (§17.1.2).
+/// State machine of a client transaction, for INVITE (§17.1.1) or another method (§17.1.2).
 #[derive(Debug)]
 pub struct ClientMachine {
-    /// Where it is.
+    /// Current state.
     pub state: State,
     invite: bool,
     reliable: bool,
     timers: Timers,
     /// Timer A or E.
     retransmission: Option<Retransmission>,
-    /// Timer B or F, then D, K or M.
+    /// Expiry of timer B or F, later of D, K or M.
     expires_at: Micros,
 }
 
 impl ClientMachine {
-    /// A request has just been sent.
+    /// Starts the transaction; its request has just been sent.
     pub fn new(now: Micros, invite: bool, reliable: bool, timers: Timers) -> Self {
         let retransmission =
             (!reliable).then_some(Retransmission { at: now + timers.t1, interval: timers.t1 });
@@ -102,13 +102,13 @@
         }
     }
 
-    /// Takes a response.
+    /// Processes a response.
     pub fn on_response(&mut self, now: Micros, code: u16) -> ResponseAction {
         match (self.state, code) {
             (State::Trying | State::Proceeding, 100..200) => {
                 self.state = State::Proceeding;
                 if self.invite {
-                    // §17.1.1.2: no repeats and no timer B once a provisional response has come.
+                    // §17.1.1.2: a provisional response ends the retransmissions and timer B.
                     self.retransmission = None;
                     self.expires_at = Micros::MAX;
                 }
@@ -129,30 +129,30 @@
                 self.expires_at = now + linger;
                 ResponseAction::PassUp
             }
-            // Each 2xx goes up: it may be another branch of a fork, or its ACK may have been lost.
+            // Each 2xx is passed on: it may come from another branch of a fork, or its ACK may have been lost.
             (State::Accepted, 200..300) => ResponseAction::PassUp,
             (State::Completed, 300..) if self.invite => ResponseAction::ResendAck,
             _ => ResponseAction::Drop,
         }
     }
 
-    /// Sends the request no more, but goes on listening for what it may still cause.
+    /// Stops retransmitting the request; responses to it are still processed.
     pub fn stop_retransmissions(&mut self) {
         self.retransmission = None;
     }
 
-    /// Whether the request may still be repeated.
+    /// Whether a retransmission of the request is scheduled.
     pub fn may_retransmit(&self) -> bool {
         self.retransmission.is_some()
     }
 
-    /// When a tick is wanted.
+    /// Time of the next timer.
     pub fn next_timer_at(&self) -> Option<Micros> {
         let expires_at = (self.state != State::Terminated).then_some(self.expires_at);
         self.retransmission.map(|r| r.at).into_iter().chain(expires_at).min()
     }
 
-    /// Takes a tick.
+    /// Runs the timers that have expired.
     pub fn tick(&mut self, now: Micros) -> TimerAction {
         if self.state != State::Terminated && now >= self.expires_at {
             let waiting = matches!(self.state, State::Trying | State::Proceeding);
@@ -174,22 +174,22 @@
     }
 }
 
-/// A server transaction, INVITE (§17.2.1) or other (§17.2.2).
+/// State machine of a server transaction, for INVITE (§17.2.1) or another method (§17.2.2).
 #[derive(Debug)]
 pub struct ServerMachine {
-    /// Where it is.
+    /// Current state.
     pub state: State,
     invite: bool,
     reliable: bool,
     timers: Timers,
     /// Timer G.
     retransmission: Option<Retransmission>,
-    /// Timer H, then I, J or L.
+    /// Expiry of timer H, later of I, J or L.
     expires_at: Micros,
 }
 
 impl ServerMachine {
-    /// A request has just come.
+    /// Starts the transaction; its request has just been received.
     pub fn new(invite: bool, reliable: bool, timers: Timers) -> Self {
         ServerMachine {
             state: State::Trying,
@@ -201,7 +201,7 @@
         }
     }
 
-    /// The user of the transaction sends a response; false if it has sent its final one already.
+    /// Records that the transaction user sends a response; false if a final response has already been sent.
     pub fn respond(&mut self, now: Micros, code: u16) -> bool {
         if !matches!(self.state, State::Trying | State::Proceeding) {
             return false;
@@ -225,12 +225,13 @@
         true
     }
 
-    /// The request came again: is the last response to be sent again? After a 2xx its own repeats do that.
+    /// Whether a retransmitted request is answered with the last response. A 2xx is retransmitted by
+    /// [`AnswerRetransmitter`].
     pub fn retransmits_response(&self) -> bool {
         matches!(self.state, State::Proceeding | State::Completed)
     }
 
-    /// An ACK has come for a final response other than 2xx.
+    /// Processes the ACK of a final response other than 2xx.
     pub fn on_ack(&mut self, now: Micros) {
         if self.invite && self.state == State::Completed {
             (self.state, self.retransmission) = (State::Confirmed, None);
@@ -238,14 +239,14 @@
         }
     }
 
-    /// When a tick is wanted.
+    /// Time of the next timer.
     pub fn next_timer_at(&self) -> Option<Micros> {
         let expires_at =
             (self.state != State::Terminated && self.expires_at != Micros::MAX).then_some(self.expires_at);
         self.retransmission.map(|r| r.at).into_iter().chain(expires_at).min()
     }
 
-    /// Takes a tick.
+    /// Runs the timers that have expired.
     pub fn tick(&mut self, now: Micros) -> TimerAction {
         if self.state != State::Terminated && now >= self.expires_at {
             let unheard = self.invite && self.state == State::Completed;
@@ -261,7 +262,7 @@
     }
 }
 
-/// A 2xx that is retransmitted until its ACK arrives (§13.3.1.4), over any transport.
+/// Retransmits a 2xx until its ACK is received (§13.3.1.4), over any transport.
 #[derive(Debug)]
 pub struct AnswerRetransmitter {
     timers: Timers,
@@ -271,28 +272,28 @@
 }
 
 impl AnswerRetransmitter {
-    /// The 2xx has just been sent.
+    /// Starts the timers; the 2xx has just been sent.
     pub fn new(now: Micros, timers: Timers) -> Self {
         let retransmission = Retransmission { at: now + timers.t1, interval: timers.t1 };
         AnswerRetransmitter { timers, retransmission, expires_at: now + timers.timeout(), acked: false }
     }
 
-    /// The ACK has come.
+    /// Records that the ACK has been received.
     pub fn on_ack(&mut self) {
         self.acked = true;
     }
 
-    /// Whether it has.
+    /// Whether no ACK is awaited: it has been received, or the wait for it has timed out.
     pub fn is_acked(&self) -> bool {
         self.acked
     }
 
-    /// When a tick is wanted.
+    /// Time of the next timer.
     pub fn next_timer_at(&self) -> Option<Micros> {
         (!self.acked).then_some(self.retransmission.at.min(self.expires_at))
     }
 
-    /// Takes a tick.
+    /// Runs the timers that have expired.
     pub fn tick(&mut self, now: Micros) -> TimerAction {
         if self.acked {
             return TimerAction::Nothing;
--- a/src/sip/transport.rs
+++ b/src/sip/transport.rs
@@ -1,4 +1,4 @@
-//! Transports (RFC 3261 §18): one UDP socket, one TCP listener, and TCP connections, which are dialled as needed.
+//! Transports (RFC 3261 §18): a UDP socket, a TCP listener, and TCP connections, which are opened on demand.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -17,22 +17,22 @@
 use super::message::{self, Framed};
 use super::{Shared, SipFrontend};
 
-/// The longest datagram.
-const DATAGRAM_BYTES: usize = 65_535;
-/// A message that has begun comes whole within this; after as long a peer gives a transaction up (64 T1).
-const WHOLE: Duration = Duration::from_secs(32);
-/// Most TCP connections at a time.
+/// Largest datagram that can be received.
+const MAX_DATAGRAM_BYTES: usize = 65_535;
+/// Longest time from the first to the last byte of a message: a peer abandons its transaction after as long (64 T1).
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(32);
+/// Limit on open TCP connections.
 const MAX_CONNECTIONS: usize = 256;
 
-/// A number of our own for a TCP connection; never used twice.
+/// Identifies a TCP connection in this process; values are not reused.
 pub type ConnId = u64;
 
-/// Where a message goes to, or came from.
+/// Destination or origin of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Peer {
     /// A UDP address.
     Udp(SocketAddr),
-    /// A TCP address, and the connection to be used while it is open.
+    /// A TCP address, and the connection to use while it is open.
     Tcp(SocketAddr, Option<ConnId>),
 }
 
@@ -46,38 +46,44 @@
 struct Conn {
     address: SocketAddr,
     outbox: Rc<Outbox>,
-    up: bool,
-    /// It was dialled by its peer.
-    taken: bool,
-    /// When a message last came or went on it, or when it came up.
-    used: Micros,
-    /// What waits for the connection to come up, or for its peer to read; with its transaction's branch.
-    held: Vec<(String, Bytes)>,
+    connected: bool,
+    /// The peer opened the connection.
+    accepted: bool,
+    /// When a message was last sent or received, or else when the connection was created.
+    last_used: Micros,
+    /// Messages that wait until the connection is established and its outbox is empty, each with the branch of its
+    /// transaction.
+    queued: Vec<(String, Bytes)>,
 }
 
-/// What is open.
+/// The sockets and connections of the frontend.
 pub struct Transport {
     udp: Rc<UdpSocket>,
-    /// Our address in Via and Contact, by transport.
+    /// Local UDP address, for Via and Contact.
     pub udp_address: SocketAddr,
-    /// See `udp_address`.
+    /// Local TCP address, for Via and Contact.
     pub tcp_address: SocketAddr,
     conns: BTreeMap<ConnId, Conn>,
-    next: ConnId,
+    last_id: ConnId,
     dial_timeout: Duration,
-    /// Connections to be dialled; the frontend starts them once its state is its own again.
-    dials: Vec<ConnId>,
+    /// Connections for which [`SipFrontend::start_dials`] has yet to start a task.
+    pending_dials: Vec<ConnId>,
 }
 
 impl Transport {
-    /// A transport on an open socket.
-    pub fn new(udp: Rc<UdpSocket>, udp_address: SocketAddr, tcp_address: SocketAddr, dial: Duration) -> Self {
-        let (conns, dials) = (BTreeMap::new(), Vec::new());
-        Transport { udp, udp_address, tcp_address, conns, next: 0, dial_timeout: dial, dials }
+    /// Creates the transport on an open UDP socket.
+    pub fn new(
+        udp: Rc<UdpSocket>,
+        udp_address: SocketAddr,
+        tcp_address: SocketAddr,
+        dial_timeout: Duration,
+    ) -> Self {
+        let (conns, pending_dials) = (BTreeMap::new(), Vec::new());
+        Transport { udp, udp_address, tcp_address, conns, last_id: 0, dial_timeout, pending_dials }
     }
 
-    /// Sends a message; the branch names it until it is written. A datagram that cannot be sent now is dropped:
-    /// repeats make up for that. Returns where it went, with the connection that was used.
+    /// Sends a message; `branch` identifies it until it is written. A datagram that cannot be sent at once is
+    /// dropped, since transactions retransmit it. Returns the peer with the connection that was used.
     pub fn send(&mut self, peer: Peer, branch: &str, bytes: Bytes) -> Peer {
         let (address, conn) = match peer {
             Peer::Udp(address) => {
@@ -86,106 +92,112 @@
             }
             Peer::Tcp(address, conn) => (address, conn),
         };
-        let usable = |id: &ConnId| self.conns.get(id).is_some_and(|c| c.outbox.is_open());
-        let mut same =
-            self.conns.iter().rev().filter(|(id, c)| c.address == address && usable(id)).map(|(id, _)| *id);
-        let id = conn.filter(usable).or_else(|| same.next()).unwrap_or_else(|| self.dial(address));
+        let is_usable = |id: &ConnId| self.conns.get(id).is_some_and(|c| c.outbox.is_open());
+        let mut to_address = self
+            .conns
+            .iter()
+            .rev()
+            .filter(|(id, c)| c.address == address && is_usable(id))
+            .map(|(id, _)| *id);
+        let id = conn.filter(is_usable).or_else(|| to_address.next()).unwrap_or_else(|| self.dial(address));
         if let Some(conn) = self.conns.get_mut(&id) {
-            conn.held.push((branch.to_string(), bytes));
-            conn.used = clock::now();
+            conn.queued.push((branch.to_string(), bytes));
+            conn.last_used = clock::now();
         }
-        self.flush(id);
+        self.flush_queued(id);
         Peer::Tcp(address, Some(id))
     }
 
     fn dial(&mut self, address: SocketAddr) -> ConnId {
-        let id = self.add(address, false);
-        self.dials.push(id);
+        let id = self.add_connection(address, false);
+        self.pending_dials.push(id);
         id
     }
 
-    fn add(&mut self, address: SocketAddr, up: bool) -> ConnId {
-        self.next += 1;
-        let (outbox, used) = (Rc::new(Outbox::default()), clock::now());
-        let conn = Conn { address, outbox, up, taken: up, used, held: Vec::new() };
-        self.conns.insert(self.next, conn);
-        self.next
+    fn add_connection(&mut self, address: SocketAddr, connected: bool) -> ConnId {
+        self.last_id += 1;
+        let (outbox, last_used) = (Rc::new(Outbox::default()), clock::now());
+        let conn = Conn { address, outbox, connected, accepted: connected, last_used, queued: Vec::new() };
+        self.conns.insert(self.last_id, conn);
+        self.last_id
     }
 
-    /// Makes room for one more connection; false if there is none. The one taken in that has been without use for
-    /// longest makes way: peers that say nothing must not keep others out, and what is still to be said to its peer
-    /// goes to the address in its Via (§18.2.2).
+    /// Makes room for another connection; false if that is not possible. At the limit, the accepted connection that
+    /// has been unused for longest is closed, so that idle peers cannot keep others out. Later responses to its
+    /// peer are sent to the address in the Via (§18.2.2).
     fn make_room(&mut self) -> bool {
         if self.conns.values().filter(|c| c.outbox.is_open()).count() < MAX_CONNECTIONS {
             return true;
         }
-        let idle = self.conns.values().filter(|c| c.taken && c.outbox.is_open());
-        let Some(conn) = idle.min_by_key(|c| c.used) else { return false };
+        let idle = self.conns.values().filter(|c| c.accepted && c.outbox.is_open());
+        let Some(conn) = idle.min_by_key(|c| c.last_used) else { return false };
         conn.outbox.close();
         true
     }
 
-    fn flush(&mut self, id: ConnId) {
-        let Some(conn) = self.conns.get_mut(&id).filter(|c| c.up && c.outbox.is_empty()) else { return };
-        for (_, bytes) in conn.held.drain(..) {
+    fn flush_queued(&mut self, id: ConnId) {
+        let Some(conn) = self.conns.get_mut(&id).filter(|c| c.connected && c.outbox.is_empty()) else {
+            return;
+        };
+        for (_, bytes) in conn.queued.drain(..) {
             conn.outbox.push(&bytes);
         }
     }
 
-    /// Whether a connection to this address is up.
-    pub fn is_up(&self, address: SocketAddr) -> bool {
-        self.conns.values().any(|c| c.address == address && c.up && c.outbox.is_open())
+    /// Whether a connection to this address is established.
+    pub fn is_connected(&self, address: SocketAddr) -> bool {
+        self.conns.values().any(|c| c.address == address && c.connected && c.outbox.is_open())
     }
 
-    /// Takes back what was not written yet; false if there is no such thing.
-    pub fn withdraw(&mut self, branch: &str) -> bool {
+    /// Removes the queued messages with this branch; false if there are none.
+    pub fn remove_queued(&mut self, branch: &str) -> bool {
         let mut found = false;
         for conn in self.conns.values_mut() {
-            let before = conn.held.len();
-            conn.held.retain(|(b, _)| b != branch);
-            found |= conn.held.len() < before;
+            let queued_before = conn.queued.len();
+            conn.queued.retain(|(b, _)| b != branch);
+            found |= conn.queued.len() < queued_before;
         }
         found
     }
 }
 
-/// Reads datagrams for ever.
+/// Reads datagrams without end.
 pub(super) async fn read_datagrams(frontend: Shared, socket: Rc<UdpSocket>) {
-    let mut buffer = vec![0; DATAGRAM_BYTES];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         match socket.recv_from(&mut buffer).await {
             Ok((size, from)) => match message::read_datagram(&buffer[..size]) {
-                Some(Ok(message)) => frontend.borrow_mut().received(Peer::Udp(from), message),
-                Some(Err(message)) => frontend.borrow_mut().malformed(Peer::Udp(from), message),
+                Some(Ok(message)) => frontend.borrow_mut().handle_message(Peer::Udp(from), message),
+                Some(Err(message)) => frontend.borrow_mut().reject_malformed(Peer::Udp(from), message),
                 None => {}
             },
-            // An ICMP error of an earlier datagram; timers find out what it means.
+            // An ICMP error caused by an earlier datagram; the timers of its transaction detect the loss.
             Err(_) => tokio::task::yield_now().await,
         }
     }
 }
 
-/// Takes TCP connections for ever.
-pub(super) async fn accept(frontend: Shared, listener: TcpListener) {
+/// Accepts TCP connections without end.
+pub(super) async fn accept_connections(frontend: Shared, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, from)) => {
                 if frontend.borrow_mut().transport.make_room() {
-                    let id = frontend.borrow_mut().transport.add(from, true);
-                    tokio::task::spawn_local(run(frontend.clone(), id, stream));
+                    let id = frontend.borrow_mut().transport.add_connection(from, true);
+                    tokio::task::spawn_local(run_connection(frontend.clone(), id, stream));
                 }
-                // What made way is closed before the next comes.
+                // Lets the task of a connection closed by `make_room` run before the next accept.
                 tokio::task::yield_now().await;
             }
             Err(e) => {
-                tracing::warn!(error = %e, "sip: accept");
+                tracing::warn!(error = %e, "cannot accept a SIP connection");
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         }
     }
 }
 
-async fn run(frontend: Shared, id: ConnId, mut stream: TcpStream) {
+async fn run_connection(frontend: Shared, id: ConnId, mut stream: TcpStream) {
     let Some((outbox, address)) =
         frontend.borrow().transport.conns.get(&id).map(|c| (c.outbox.clone(), c.address))
     else {
@@ -196,58 +208,63 @@
             Framed::Message(message) => {
                 let mut frontend = frontend.borrow_mut();
                 if let Some(conn) = frontend.transport.conns.get_mut(&id) {
-                    conn.used = clock::now();
+                    conn.last_used = clock::now();
                 }
-                frontend.received(Peer::Tcp(address, Some(id)), message);
+                frontend.handle_message(Peer::Tcp(address, Some(id)), message);
             }
             Framed::Incomplete => return true,
             Framed::Invalid => return false,
         }
     };
-    let on_drained = || frontend.borrow_mut().transport.flush(id);
-    let _ = link::run(&mut stream, &outbox, WHOLE, on_bytes, on_drained).await;
+    let on_drained = || frontend.borrow_mut().transport.flush_queued(id);
+    let _ = link::run(&mut stream, &outbox, MESSAGE_TIMEOUT, on_bytes, on_drained).await;
     outbox.flush_without_blocking(&stream);
-    frontend.borrow_mut().conn_ended(id, true);
+    frontend.borrow_mut().remove_connection(id, true);
 }
 
-async fn dial(frontend: Rc<RefCell<SipFrontend>>, id: ConnId, address: SocketAddr, limit: Duration) {
-    match tokio::time::timeout(limit, TcpStream::connect(address)).await {
+async fn dial_connection(
+    frontend: Rc<RefCell<SipFrontend>>,
+    id: ConnId,
+    address: SocketAddr,
+    timeout: Duration,
+) {
+    match tokio::time::timeout(timeout, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => {
             {
                 let transport = &mut frontend.borrow_mut().transport;
                 if let Some(conn) = transport.conns.get_mut(&id) {
-                    conn.up = true;
+                    conn.connected = true;
                 }
-                transport.flush(id);
+                transport.flush_queued(id);
             }
-            run(frontend, id, stream).await;
+            run_connection(frontend, id, stream).await;
         }
         Ok(Err(e)) => {
             let refused = e.kind() == io::ErrorKind::ConnectionRefused;
             let mut frontend = frontend.borrow_mut();
-            frontend.conn_ended(id, false);
+            frontend.remove_connection(id, false);
             if refused {
-                frontend.refused(address);
+                frontend.handle_connection_refused(address);
             }
         }
-        Err(_) => frontend.borrow_mut().conn_ended(id, false),
+        Err(_) => frontend.borrow_mut().remove_connection(id, false),
     }
 }
 
 impl SipFrontend {
-    /// Starts the dials that sending has asked for.
+    /// Starts a task for each connection that is to be dialled.
     pub(super) fn start_dials(&mut self) {
-        for id in std::mem::take(&mut self.transport.dials) {
+        for id in std::mem::take(&mut self.transport.pending_dials) {
             let Some(conn) = self.transport.conns.get(&id) else { continue };
-            let (address, limit) = (conn.address, self.transport.dial_timeout);
-            tokio::task::spawn_local(dial(self.shared(), id, address, limit));
+            let (address, timeout) = (conn.address, self.transport.dial_timeout);
+            tokio::task::spawn_local(dial_connection(self.shared(), id, address, timeout));
         }
     }
 
-    /// A connection is over; `came_up` is false if it never was one.
-    fn conn_ended(&mut self, id: ConnId, came_up: bool) {
+    /// Removes a connection that has ended; `was_connected` is false if it was never established.
+    fn remove_connection(&mut self, id: ConnId, was_connected: bool) {
         let Some(conn) = self.transport.conns.remove(&id) else { return };
-        let unsent = conn.held.into_iter().map(|(branch, _)| branch).collect();
-        self.conn_lost(id, came_up, unsent);
+        let unsent = conn.queued.into_iter().map(|(branch, _)| branch).collect();
+        self.handle_connection_end(id, was_connected, unsent);
     }
 }
