--- a/tests/sip.rs
+++ b/tests/sip.rs
@@ -1,4 +1,4 @@
-//! Stories on SIP: the real program between stand-in user agents, servers found by DNS-SD.
+//! Tests of the SIP frontend: the program runs between simulated user agents and finds its servers by DNS-SD.
 
 mod peers;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,509 +10,520 @@
 use peers::*;
 use rstest::rstest;
 
-/// The drain window, and the most that loopback and a busy machine may add to a datagram's way.
-const WINDOW: Duration = Duration::from_millis(250);
+/// The drain window plus the longest delay of a datagram over loopback on a busy machine.
+const DRAIN_WINDOW: Duration = Duration::from_millis(250);
 
-/// A gatekeeper, one server behind it and one caller before it, all on one transport.
-struct Site {
+/// A gatekeeper with one server and one caller, all on the same transport.
+struct Setup {
     program: Program,
     resolver: Resolver,
     caller: Agent,
     server: Agent,
-    /// Further servers' connections come in here.
+    /// Accepts further connections to the server.
     listener: Option<TcpListener>,
-    gate: SocketAddr,
+    gatekeeper: SocketAddr,
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum On {
+enum Transport {
     Udp,
     Tcp,
 }
 
-/// For TCP the server's connection is only there once the first call goes out, so a story's first INVITE is sent
-/// here.
-fn site(on: On, wait_ms: u64, call: &str) -> (Site, Got) {
+/// Starts a gatekeeper and sends the first INVITE, because over TCP the connection to the server is opened only by
+/// the first attempt. Returns the INVITE that the server receives.
+fn setup(transport: Transport, wait_ms: u64, call: &str) -> (Setup, Got) {
     let datagrams = Agent::udp(SocketAddr::from(([127, 0, 0, 1], 9)));
     let (listener, at) = listen();
-    let (address, service) = match on {
-        On::Udp => (datagrams.own, "_sip._udp.pool.lan"),
-        On::Tcp => (at, "_sip._tcp.pool.lan"),
+    let (address, service) = match transport {
+        Transport::Udp => (datagrams.own, "_sip._udp.pool.lan"),
+        Transport::Tcp => (at, "_sip._tcp.pool.lan"),
     };
     let resolver = Resolver::new(vec![line("s-1", address, 0)]);
     let (program, udp, tcp) = Program::sip(&resolver, service, wait_ms);
-    resolver.asked_anew(); // by then the program knows its server
-    let gate = if on == On::Udp { udp } else { tcp };
-    let mut caller = if on == On::Udp { Agent::udp(gate) } else { Agent::tcp(gate) };
+    resolver.asked_anew(); // the program has received the server list
+    let gatekeeper = if transport == Transport::Udp { udp } else { tcp };
+    let mut caller =
+        if transport == Transport::Udp { Agent::udp(gatekeeper) } else { Agent::tcp(gatekeeper) };
     caller.invite(call);
-    let mut server = if on == On::Udp { datagrams } else { Agent::accept(&listener) };
+    let mut server = if transport == Transport::Udp { datagrams } else { Agent::accept(&listener) };
     let invite = server.expect("INVITE");
-    (Site { program, resolver, caller, server, listener: Some(listener), gate }, invite)
+    (Setup { program, resolver, caller, server, listener: Some(listener), gatekeeper }, invite)
 }
 
-/// A call that stands: the server's INVITE and the caller's 200, ACKed on both sides.
-fn standing(on: On, call: &str) -> (Site, Got, Got) {
-    let (mut site, invite) = site(on, 9000, call);
-    site.server.answer(&invite, "200 OK", "far", "v=0\r\no=answer\r\n");
-    site.server.expect("ACK");
-    let ok = site.caller.expect("SIP/2.0 200");
-    site.caller.in_dialog(&ok, "ACK", 1);
-    (site, invite, ok)
+/// Establishes a call, with ACKs on both sides. Returns the INVITE to the server and the 200 to the caller.
+fn established_call(transport: Transport, call: &str) -> (Setup, Got, Got) {
+    let (mut setup, invite) = setup(transport, 9000, call);
+    setup.server.answer(&invite, "200 OK", "far", "v=0\r\no=answer\r\n");
+    setup.server.expect("ACK");
+    let ok = setup.caller.expect("SIP/2.0 200");
+    setup.caller.in_dialog(&ok, "ACK", 1);
+    (setup, invite, ok)
 }
 
 #[rstest]
-#[case::udp(On::Udp)]
-#[case::tcp(On::Tcp)]
-fn a_call_from_invite_to_bye(#[case] on: On) {
-    let (mut site, invite) = site(on, 9000, "c1");
-    assert_eq!(site.caller.expect("SIP/2.0 100").tag("To"), "", "100 has no tag");
+#[case::udp(Transport::Udp)]
+#[case::tcp(Transport::Tcp)]
+fn call_is_set_up_and_released(#[case] transport: Transport) {
+    let (mut setup, invite) = setup(transport, 9000, "c1");
+    assert_eq!(setup.caller.expect("SIP/2.0 100").tag("To"), "", "a 100 response has no To tag");
     assert!(invite.first().contains("sip:5550100@"), "{}", invite.first());
     assert_eq!((invite.body(), invite.get("Max-Forwards")), ("v=0\r\no=offer\r\n", "69"));
-    assert_ne!(invite.get("Call-ID"), "c1", "each attempt has a dialog of its own");
-    site.server.answer(&invite, "100 Trying", "", "");
-    site.server.answer(&invite, "180 Ringing", "far", "");
-    let ringing = site.caller.expect("SIP/2.0 180");
-    site.server.answer(&invite, "200 OK", "far", "v=0\r\no=answer\r\n");
-    let ack = site.server.expect("ACK");
+    assert_ne!(invite.get("Call-ID"), "c1", "each attempt has its own dialog");
+    setup.server.answer(&invite, "100 Trying", "", "");
+    setup.server.answer(&invite, "180 Ringing", "far", "");
+    let ringing = setup.caller.expect("SIP/2.0 180");
+    setup.server.answer(&invite, "200 OK", "far", "v=0\r\no=answer\r\n");
+    let ack = setup.server.expect("ACK");
     assert_eq!((ack.get("CSeq"), ack.tag("To")), ("1 ACK", "far"));
-    let ok = site.caller.expect("SIP/2.0 200");
+    let ok = setup.caller.expect("SIP/2.0 200");
     assert_eq!((ok.body(), ok.get("Content-Type")), ("v=0\r\no=answer\r\n", "application/sdp"));
-    assert_eq!(ok.tag("To"), ringing.tag("To"), "one dialog");
-    site.caller.in_dialog(&ok, "ACK", 1);
-    site.caller.in_dialog(&ok, "BYE", 2);
-    assert_eq!(site.caller.expect("SIP/2.0 200").get("CSeq"), "2 BYE");
-    let bye = site.server.expect("BYE");
+    assert_eq!(ok.tag("To"), ringing.tag("To"), "both responses belong to one dialog");
+    setup.caller.in_dialog(&ok, "ACK", 1);
+    setup.caller.in_dialog(&ok, "BYE", 2);
+    assert_eq!(setup.caller.expect("SIP/2.0 200").get("CSeq"), "2 BYE");
+    let bye = setup.server.expect("BYE");
     assert_eq!((bye.tag("To"), bye.get("CSeq")), ("far", "2 BYE"));
-    site.server.answer(&bye, "200 OK", "", "");
-    site.caller.in_dialog(&ok, "BYE", 3);
-    assert!(site.caller.expect("SIP/2.0 481").get("CSeq").contains("BYE"), "the dialog is over");
+    setup.server.answer(&bye, "200 OK", "", "");
+    setup.caller.in_dialog(&ok, "BYE", 3);
+    assert!(setup.caller.expect("SIP/2.0 481").get("CSeq").contains("BYE"), "the dialog has ended");
 }
 
 #[rstest]
-#[case::udp(On::Udp)]
-#[case::tcp(On::Tcp)]
-fn a_server_ends_the_call(#[case] on: On) {
-    let (mut site, invite, ok) = standing(on, "c2");
-    site.server.bye_from_server(&invite, "far");
-    assert_eq!(site.server.expect("SIP/2.0 200").get("CSeq"), "1 BYE");
-    let bye = site.caller.expect("BYE");
+#[case::udp(Transport::Udp)]
+#[case::tcp(Transport::Tcp)]
+fn bye_from_a_server_ends_the_call(#[case] transport: Transport) {
+    let (mut setup, invite, ok) = established_call(transport, "c2");
+    setup.server.bye_from_server(&invite, "far");
+    assert_eq!(setup.server.expect("SIP/2.0 200").get("CSeq"), "1 BYE");
+    let bye = setup.caller.expect("BYE");
     assert_eq!((bye.tag("From"), bye.tag("To")), (ok.tag("To"), ok.tag("From")));
 }
 
-/// The server's word reaches the caller by standard codes.
+/// A final error status of the server is sent to the caller, possibly after further attempts.
 #[rstest]
 #[case::not_found("404 Not Found", "SIP/2.0 404")]
 #[case::busy("486 Busy Here", "SIP/2.0 486")]
 #[case::declined("603 Decline", "SIP/2.0 603")]
-fn a_servers_failure_reaches_the_caller(#[case] says: &str, #[case] hears: &str) {
-    let (mut site, invite) = site(On::Udp, 9000, "c3");
-    let (got, attempts) = turn_all_down(&mut site, invite, says);
-    assert!(got.is(hears), "{}", got.first());
-    let ack = ack_of(&site.caller, &got, "c3");
-    site.caller.send(&ack);
+fn failure_status_of_a_server_is_forwarded_to_the_caller(#[case] status: &str, #[case] expected: &str) {
+    let (mut setup, invite) = setup(Transport::Udp, 9000, "c3");
+    let (got, attempts) = reject_all_attempts(&mut setup, invite, status);
+    assert!(got.is(expected), "{}", got.first());
+    let ack = ack_for(&setup.caller, &got, "c3");
+    setup.caller.send(&ack);
     assert!(attempts <= 4, "{attempts} attempts");
 }
 
-/// Turns every attempt down until the caller has its final answer; returns that and how many there were.
-fn turn_all_down(site: &mut Site, first: Got, status: &str) -> (Got, usize) {
+/// Rejects every attempt until the caller receives a final response; returns that response and the number of
+/// attempts.
+fn reject_all_attempts(setup: &mut Setup, first: Got, status: &str) -> (Got, usize) {
     let mut invite = Some(first);
     let mut attempts = BTreeSet::new();
-    let last = eventually("the caller's final answer", || {
+    let last = eventually("final response to the caller", || {
         if let Some(invite) = invite.take() {
-            site.server.answer(&invite, status, "far", "");
+            setup.server.answer(&invite, status, "far", "");
             attempts.insert(invite.get("Call-ID").to_string());
         }
-        invite = site.server.next(Duration::from_millis(5)).filter(|g| g.is("INVITE"));
-        site.caller.next(Duration::from_millis(5)).filter(|g| !g.is("SIP/2.0 1"))
+        invite = setup.server.next(Duration::from_millis(5)).filter(|g| g.is("INVITE"));
+        setup.caller.next(Duration::from_millis(5)).filter(|g| !g.is("SIP/2.0 1"))
     });
     (last, attempts.len())
 }
 
-fn ack_of(caller: &Agent, refusal: &Got, call: &str) -> String {
+fn ack_for(caller: &Agent, rejection: &Got, call: &str) -> String {
     let request = caller.request("ACK", call, "", "");
-    request.replace("To: <sip:5550100@central>", &format!("To: {}", refusal.get("To")))
+    request.replace("To: <sip:5550100@central>", &format!("To: {}", rejection.get("To")))
 }
 
-/// Refused: 503 with Retry-After, at once.
+/// A rejected call gets 503 with Retry-After before its deadline.
 #[test]
-fn a_full_server_means_503_and_retry_after() {
-    let (mut site, invite) = site(On::Udp, 60_000, "c4");
+fn overloaded_server_leads_to_503_with_retry_after() {
+    let (mut setup, invite) = setup(Transport::Udp, 60_000, "c4");
     let asked = Instant::now();
-    let (refused, _) = turn_all_down(&mut site, invite, "503 Service Unavailable");
-    assert!(refused.is("SIP/2.0 503"), "{}", refused.first());
-    assert_eq!(refused.get("Retry-After"), "2");
-    assert!(asked.elapsed() < Duration::from_secs(20), "not held to the deadline");
+    let (rejection, _) = reject_all_attempts(&mut setup, invite, "503 Service Unavailable");
+    assert!(rejection.is("SIP/2.0 503"), "{}", rejection.first());
+    assert_eq!(rejection.get("Retry-After"), "2");
+    assert!(asked.elapsed() < Duration::from_secs(20), "the rejection was delayed until the deadline");
 }
 
-/// The caller's time is up: 408 to the caller; the server, which has rung, gets a CANCEL.
+/// At the deadline the caller gets 408, and the server, which has sent a provisional response, gets a CANCEL.
 #[rstest]
-#[case::udp(On::Udp)]
-#[case::tcp(On::Tcp)]
-fn the_callers_time_runs_out(#[case] on: On) {
-    let (mut site, invite) = site(on, 1500, "c5");
-    site.server.answer(&invite, "180 Ringing", "far", "");
-    site.caller.expect("SIP/2.0 408");
-    let cancel = site.server.expect("CANCEL");
+#[case::udp(Transport::Udp)]
+#[case::tcp(Transport::Tcp)]
+fn setup_timeout_is_answered_with_408_and_cancels_the_attempt(#[case] transport: Transport) {
+    let (mut setup, invite) = setup(transport, 1500, "c5");
+    setup.server.answer(&invite, "180 Ringing", "far", "");
+    setup.caller.expect("SIP/2.0 408");
+    let cancel = setup.server.expect("CANCEL");
     assert_eq!((cancel.get("Via"), cancel.get("CSeq")), (invite.get("Via"), "1 CANCEL"));
-    site.server.answer(&cancel, "200 OK", "far", "");
-    site.server.answer(&invite, "487 Request Terminated", "far", "");
-    site.server.expect("ACK");
+    setup.server.answer(&cancel, "200 OK", "far", "");
+    setup.server.answer(&invite, "487 Request Terminated", "far", "");
+    setup.server.expect("ACK");
 }
 
-/// A repeated INVITE is absorbed by its server transaction: it is answered again, and is no second call.
+/// A retransmitted INVITE is absorbed by its server transaction: the last response is sent again, and no second
+/// call starts.
 #[test]
-fn a_repeated_invite_is_no_second_call() {
-    let (mut site, invite) = site(On::Udp, 9000, "c6");
-    site.server.answer(&invite, "180 Ringing", "far", "");
-    site.caller.expect("SIP/2.0 180");
+fn retransmitted_invite_starts_no_second_call() {
+    let (mut setup, invite) = setup(Transport::Udp, 9000, "c6");
+    setup.server.answer(&invite, "180 Ringing", "far", "");
+    setup.caller.expect("SIP/2.0 180");
     for _ in 0..3 {
-        site.caller.invite("c6");
-        site.caller.expect("SIP/2.0 180");
+        setup.caller.invite("c6");
+        setup.caller.expect("SIP/2.0 180");
     }
-    site.server.answer(&invite, "200 OK", "far", "");
-    let ok = site.caller.expect("SIP/2.0 200");
-    site.caller.invite("c6");
-    site.caller.in_dialog(&ok, "ACK", 1);
-    site.caller.in_dialog(&ok, "BYE", 2);
-    site.server.expect("BYE");
-    assert_eq!(site.server.count("INVITE"), 1);
+    setup.server.answer(&invite, "200 OK", "far", "");
+    let ok = setup.caller.expect("SIP/2.0 200");
+    setup.caller.invite("c6");
+    setup.caller.in_dialog(&ok, "ACK", 1);
+    setup.caller.in_dialog(&ok, "BYE", 2);
+    setup.server.expect("BYE");
+    assert_eq!(setup.server.count("INVITE"), 1);
 }
 
-/// Our own repeats to a server that drains end with the window; the attempt has timed out, and the call goes out
-/// again only after the release wait.
+/// Retransmissions of an INVITE to a draining server stop with the drain window. The attempt then counts as timed
+/// out, and the next attempt of the call starts only after the release wait.
 #[test]
-fn repeats_to_a_draining_server_end_with_the_window() {
-    let (mut site, first) = site(On::Udp, 20_000, "c7");
-    let mut other = Agent::udp(site.gate);
+fn retransmissions_to_a_draining_server_stop_with_the_drain_window() {
+    let (mut setup, first) = setup(Transport::Udp, 20_000, "c7");
+    let mut other = Agent::udp(setup.gatekeeper);
     let at = other.own;
-    site.server.expect("INVITE"); // it repeats, since nothing is said
-    let serial = site.resolver.change(0, |list| {
+    setup.server.expect("INVITE"); // a retransmission, since the server does not respond
+    let serial = setup.resolver.change(0, |list| {
         list[0].draining = true;
         list.push(line("s-2", at, 1));
     });
-    let told = site.resolver.told(serial);
+    let notified_at = setup.resolver.told(serial);
     let again = other.expect("INVITE");
-    assert_eq!(again.get("Session-ID"), first.get("Session-ID"), "the same call");
-    while site.server.next(Duration::from_millis(600)).is_some() {}
-    let last = site.server.got.iter().rfind(|g| g.is("INVITE")).unwrap().at;
-    assert!(last <= told + WINDOW, "an INVITE {:?} after the news", last - told);
+    assert_eq!(again.get("Session-ID"), first.get("Session-ID"), "the attempt belongs to the same call");
+    while setup.server.next(Duration::from_millis(600)).is_some() {}
+    let last = setup.server.got.iter().rfind(|g| g.is("INVITE")).unwrap().at;
+    assert!(
+        last <= notified_at + DRAIN_WINDOW,
+        "an INVITE arrived {:?} after the list change",
+        last - notified_at
+    );
     assert!(again.at >= last + Duration::from_millis(500), "the release wait was not kept");
-    assert_eq!(site.server.count("CANCEL"), 0, "nothing to cancel: no provisional response came");
-    // A late 2xx of the given-up attempt is ACKed, then ended; the caller never hears of it.
-    site.server.answer(&first, "200 OK", "late", "");
-    site.server.expect("ACK");
-    assert_eq!(site.server.expect("BYE").tag("To"), "late");
+    assert_eq!(setup.server.count("CANCEL"), 0, "no CANCEL without a provisional response");
+    // A late 2xx to the abandoned attempt is ACKed and followed by a BYE; the caller gets no response for it.
+    setup.server.answer(&first, "200 OK", "late", "");
+    setup.server.expect("ACK");
+    assert_eq!(setup.server.expect("BYE").tag("To"), "late");
     other.answer(&again, "200 OK", "far", "");
-    let ok = site.caller.expect("SIP/2.0 200");
-    site.caller.in_dialog(&ok, "ACK", 1);
-    assert_eq!(site.caller.got.iter().filter(|g| g.is("SIP/2.0 200")).count(), 1);
+    let ok = setup.caller.expect("SIP/2.0 200");
+    setup.caller.in_dialog(&ok, "ACK", 1);
+    assert_eq!(setup.caller.got.iter().filter(|g| g.is("SIP/2.0 200")).count(), 1);
 }
 
-/// The caller's CANCEL before any provisional response of the server: the server gets none until it has said
-/// something.
+/// The caller cancels before the server has sent a provisional response: the CANCEL to the server waits for that
+/// response.
 #[test]
-fn a_cancel_waits_for_a_provisional_response() {
-    let (mut site, invite) = site(On::Udp, 9000, "c8");
-    site.caller.cancel("c8");
-    assert_eq!(site.caller.expect("SIP/2.0 200").get("CSeq"), "1 CANCEL");
-    assert_eq!(site.caller.expect("SIP/2.0 487").get("CSeq"), "1 INVITE");
-    while site.server.next(Duration::from_millis(300)).is_some() {}
-    assert_eq!(site.server.count("CANCEL"), 0);
-    site.server.answer(&invite, "100 Trying", "", "");
-    let cancel = site.server.expect("CANCEL");
-    site.server.answer(&cancel, "200 OK", "far", "");
-    site.server.answer(&invite, "487 Request Terminated", "far", "");
-    site.server.expect("ACK");
-}
-
-/// The caller's CANCEL crosses our 200: it changes nothing, the call stands and takes a BYE.
+fn cancel_waits_for_a_provisional_response() {
+    let (mut setup, invite) = setup(Transport::Udp, 9000, "c8");
+    setup.caller.cancel("c8");
+    assert_eq!(setup.caller.expect("SIP/2.0 200").get("CSeq"), "1 CANCEL");
+    assert_eq!(setup.caller.expect("SIP/2.0 487").get("CSeq"), "1 INVITE");
+    while setup.server.next(Duration::from_millis(300)).is_some() {}
+    assert_eq!(setup.server.count("CANCEL"), 0);
+    setup.server.answer(&invite, "100 Trying", "", "");
+    let cancel = setup.server.expect("CANCEL");
+    setup.server.answer(&cancel, "200 OK", "far", "");
+    setup.server.answer(&invite, "487 Request Terminated", "far", "");
+    setup.server.expect("ACK");
+}
+
+/// A CANCEL that crosses the 200 to the caller has no effect: the call remains established until its BYE.
 #[rstest]
-#[case::udp(On::Udp)]
-#[case::tcp(On::Tcp)]
-fn a_cancel_that_crosses_the_answer_changes_nothing(#[case] on: On) {
-    let (mut site, invite) = site(on, 9000, "c9");
-    site.server.answer(&invite, "200 OK", "far", "");
-    site.server.expect("ACK");
-    let ok = site.caller.expect("SIP/2.0 200");
-    site.caller.cancel("c9");
-    let heard = eventually("the CANCEL's answer", || {
-        site.caller.next(PATIENCE).filter(|g| g.is("SIP/2.0 200") && g.get("CSeq") == "1 CANCEL")
+#[case::udp(Transport::Udp)]
+#[case::tcp(Transport::Tcp)]
+fn cancel_that_crosses_the_answer_has_no_effect(#[case] transport: Transport) {
+    let (mut setup, invite) = setup(transport, 9000, "c9");
+    setup.server.answer(&invite, "200 OK", "far", "");
+    setup.server.expect("ACK");
+    let ok = setup.caller.expect("SIP/2.0 200");
+    setup.caller.cancel("c9");
+    let response = eventually("response to the CANCEL", || {
+        setup.caller.next(PATIENCE).filter(|g| g.is("SIP/2.0 200") && g.get("CSeq") == "1 CANCEL")
     });
-    assert_eq!(heard.get("Call-ID"), "c9");
-    site.caller.in_dialog(&ok, "ACK", 1);
-    site.caller.in_dialog(&ok, "BYE", 2);
-    site.server.expect("BYE");
-    assert_eq!(site.caller.count("SIP/2.0 487"), 0);
-    assert_eq!(site.server.count("CANCEL"), 0);
+    assert_eq!(response.get("Call-ID"), "c9");
+    setup.caller.in_dialog(&ok, "ACK", 1);
+    setup.caller.in_dialog(&ok, "BYE", 2);
+    setup.server.expect("BYE");
+    assert_eq!(setup.caller.count("SIP/2.0 487"), 0);
+    assert_eq!(setup.server.count("CANCEL"), 0);
 }
 
-/// Our CANCEL crosses the server's 200: the late 2xx gets its ACK, then a BYE.
+/// A CANCEL to the server crosses its 200: the late 2xx is ACKed and followed by a BYE.
 #[rstest]
-#[case::udp(On::Udp)]
-#[case::tcp(On::Tcp)]
-fn an_answer_that_crosses_our_cancel_is_ended(#[case] on: On) {
-    let (mut site, invite) = site(on, 9000, "c10");
-    site.server.answer(&invite, "180 Ringing", "far", "");
-    site.caller.expect("SIP/2.0 180");
-    site.caller.cancel("c10");
-    site.caller.expect("SIP/2.0 487");
-    let cancel = site.server.expect("CANCEL");
-    site.server.answer(&invite, "200 OK", "far", "");
-    site.server.answer(&cancel, "481 Call/Transaction Does Not Exist", "far", "");
-    site.server.expect("ACK");
-    site.server.expect("BYE");
+#[case::udp(Transport::Udp)]
+#[case::tcp(Transport::Tcp)]
+fn answer_that_crosses_a_cancel_is_released(#[case] transport: Transport) {
+    let (mut setup, invite) = setup(transport, 9000, "c10");
+    setup.server.answer(&invite, "180 Ringing", "far", "");
+    setup.caller.expect("SIP/2.0 180");
+    setup.caller.cancel("c10");
+    setup.caller.expect("SIP/2.0 487");
+    let cancel = setup.server.expect("CANCEL");
+    setup.server.answer(&invite, "200 OK", "far", "");
+    setup.server.answer(&cancel, "481 Call/Transaction Does Not Exist", "far", "");
+    setup.server.expect("ACK");
+    setup.server.expect("BYE");
     assert_eq!(
-        site.caller.got.iter().filter(|g| g.is("SIP/2.0 200") && g.get("CSeq") == "1 INVITE").count(),
+        setup.caller.got.iter().filter(|g| g.is("SIP/2.0 200") && g.get("CSeq") == "1 INVITE").count(),
         0
     );
 }
 
-/// A second branch of a fork is ACKed and ended, a repeated 2xx is ACKed again; the caller has one answer.
+/// A 2xx from a second branch of a fork is ACKed and followed by a BYE, a retransmitted 2xx is ACKed again, and the
+/// caller gets one answer.
 #[test]
-fn forked_and_repeated_answers() {
-    let (mut site, invite) = site(On::Udp, 9000, "c11");
-    site.server.answer(&invite, "200 OK", "one", "");
-    assert_eq!(site.server.expect("ACK").tag("To"), "one");
-    site.server.answer(&invite, "200 OK", "two", "");
-    assert_eq!(site.server.expect("ACK").tag("To"), "two");
-    assert_eq!(site.server.expect("BYE").tag("To"), "two");
-    site.server.answer(&invite, "200 OK", "one", "");
-    assert_eq!(site.server.expect("ACK").tag("To"), "one");
-    let ok = site.caller.expect("SIP/2.0 200");
-    site.caller.in_dialog(&ok, "ACK", 1);
-    site.caller.in_dialog(&ok, "BYE", 2);
-    assert_eq!(site.server.expect("BYE").tag("To"), "one");
+fn forked_and_retransmitted_answers_are_acknowledged() {
+    let (mut setup, invite) = setup(Transport::Udp, 9000, "c11");
+    setup.server.answer(&invite, "200 OK", "one", "");
+    assert_eq!(setup.server.expect("ACK").tag("To"), "one");
+    setup.server.answer(&invite, "200 OK", "two", "");
+    assert_eq!(setup.server.expect("ACK").tag("To"), "two");
+    assert_eq!(setup.server.expect("BYE").tag("To"), "two");
+    setup.server.answer(&invite, "200 OK", "one", "");
+    assert_eq!(setup.server.expect("ACK").tag("To"), "one");
+    let ok = setup.caller.expect("SIP/2.0 200");
+    setup.caller.in_dialog(&ok, "ACK", 1);
+    setup.caller.in_dialog(&ok, "BYE", 2);
+    assert_eq!(setup.server.expect("BYE").tag("To"), "one");
     assert_eq!(
-        site.caller.got.iter().filter(|g| g.tag("To") != ok.tag("To") && g.is("SIP/2.0 2")).count(),
+        setup.caller.got.iter().filter(|g| g.tag("To") != ok.tag("To") && g.is("SIP/2.0 2")).count(),
         0
     );
 }
 
-/// The caller's ACK is lost: the 200 is repeated until one comes.
+/// The caller's ACK is lost: the 200 is retransmitted until an ACK arrives.
 #[rstest]
-#[case::udp(On::Udp)]
-#[case::tcp(On::Tcp)]
-fn a_lost_ack_is_asked_for_again(#[case] on: On) {
-    let (mut site, invite) = site(on, 9000, "c12");
-    site.server.answer(&invite, "200 OK", "far", "");
-    let first = site.caller.expect("SIP/2.0 200");
-    let again = site.caller.expect("SIP/2.0 200");
+#[case::udp(Transport::Udp)]
+#[case::tcp(Transport::Tcp)]
+fn answer_is_retransmitted_until_its_ack(#[case] transport: Transport) {
+    let (mut setup, invite) = setup(transport, 9000, "c12");
+    setup.server.answer(&invite, "200 OK", "far", "");
+    let first = setup.caller.expect("SIP/2.0 200");
+    let again = setup.caller.expect("SIP/2.0 200");
     assert_eq!(first.text, again.text);
-    site.caller.in_dialog(&again, "ACK", 1);
-    site.server.bye_from_server(&invite, "far");
-    site.caller.expect("BYE");
+    setup.caller.in_dialog(&again, "ACK", 1);
+    setup.server.bye_from_server(&invite, "far");
+    setup.caller.expect("BYE");
 }
 
-/// No ACK ever comes: after 64 T1 the call is ended on both sides.
+/// No ACK arrives: after 64 T1 the call is released on both sides.
 #[test]
-fn a_call_without_an_ack_is_ended_on_both_sides() {
-    let (mut site, invite) = site(On::Udp, 9000, "c13");
-    site.server.answer(&invite, "200 OK", "far", "");
-    site.server.expect("ACK");
-    site.caller.expect("BYE");
-    site.server.expect("BYE");
+fn call_without_an_ack_is_released_on_both_sides() {
+    let (mut setup, invite) = setup(Transport::Udp, 9000, "c13");
+    setup.server.answer(&invite, "200 OK", "far", "");
+    setup.server.expect("ACK");
+    setup.caller.expect("BYE");
+    setup.server.expect("BYE");
 }
 
-/// TCP has no message borders: one message in pieces, two in one piece, a keep-alive between.
+/// TCP does not preserve message boundaries: one message arrives in two parts, two messages and a keep-alive in one.
 #[test]
-fn split_and_joined_messages_over_tcp() {
-    let (mut site, invite) = site(On::Tcp, 9000, "c14");
+fn split_and_joined_messages_over_tcp_are_framed() {
+    let (mut setup, invite) = setup(Transport::Tcp, 9000, "c14");
     let (one, two) =
-        (site.caller.request("OPTIONS", "o1", "", ""), site.caller.request("OPTIONS", "o2", "", ""));
+        (setup.caller.request("OPTIONS", "o1", "", ""), setup.caller.request("OPTIONS", "o2", "", ""));
     let (head, tail) = one.split_at(40);
-    site.caller.send(head);
-    site.caller.send(&format!("{tail}\r\n\r\n{two}"));
+    setup.caller.send(head);
+    setup.caller.send(&format!("{tail}\r\n\r\n{two}"));
     let ids: BTreeSet<String> =
-        (0..2).map(|_| site.caller.expect("SIP/2.0 200").get("Call-ID").to_string()).collect();
+        (0..2).map(|_| setup.caller.expect("SIP/2.0 200").get("Call-ID").to_string()).collect();
     assert_eq!(ids, BTreeSet::from(["o1".into(), "o2".into()]));
     let ringing = invite.response("180 Ringing", "far", "", "");
-    let ok = invite.response("200 OK", "far", &format!("Contact: <sip:{}>\r\n", site.server.own), "v=0\r\n");
-    site.server.send(&format!("{ringing}{ok}"));
-    site.caller.expect("SIP/2.0 180");
-    assert_eq!(site.caller.expect("SIP/2.0 200").body(), "v=0\r\n");
+    let ok = invite.response("200 OK", "far", &format!("Contact: <sip:{}>\r\n", setup.server.own), "v=0\r\n");
+    setup.server.send(&format!("{ringing}{ok}"));
+    setup.caller.expect("SIP/2.0 180");
+    assert_eq!(setup.caller.expect("SIP/2.0 200").body(), "v=0\r\n");
 }
 
-/// A server's connection breaks under a set-up: it may have run, so the call goes out again only after the
-/// release wait, on a new connection.
+/// A server's connection closes during a set-up: the attempt may have been processed, so the next one starts only
+/// after the release wait, on a new connection.
 #[test]
-fn a_lost_connection_to_a_server_cuts_its_set_ups() {
-    let (mut site, _) = site(On::Tcp, 20_000, "c15");
+fn lost_connection_to_a_server_resets_its_attempts() {
+    let (mut setup, _) = setup(Transport::Tcp, 20_000, "c15");
     let lost = Instant::now();
-    drop(std::mem::replace(&mut site.server, Agent::udp(site.gate)));
-    let mut next = Agent::accept(site.listener.as_ref().unwrap());
+    drop(std::mem::replace(&mut setup.server, Agent::udp(setup.gatekeeper)));
+    let mut next = Agent::accept(setup.listener.as_ref().unwrap());
     let again = next.expect("INVITE");
     assert!(again.at >= lost + Duration::from_millis(500), "{:?}", again.at - lost);
     next.answer(&again, "200 OK", "far", "");
-    site.caller.expect("SIP/2.0 200");
+    setup.caller.expect("SIP/2.0 200");
 }
 
-/// A caller's connection breaks: its answer goes to where it listens (§18.2.2).
+/// A caller's connection closes: its answer is sent to the address in its Via (§18.2.2).
 #[test]
-fn a_lost_connection_to_a_caller_is_replaced() {
+fn lost_connection_to_a_caller_is_replaced() {
     let (listener, at) = listen();
-    let (mut site, _) = site(On::Tcp, 9000, "c16");
-    let mut second = Agent::tcp(site.gate);
+    let (mut setup, _) = setup(Transport::Tcp, 9000, "c16");
+    let mut second = Agent::tcp(setup.gatekeeper);
     second.own = at;
     second.invite("c17");
-    let invite = site.server.expect("INVITE");
+    let invite = setup.server.expect("INVITE");
     drop(second);
-    site.resolver.asked_anew();
-    site.server.answer(&invite, "200 OK", "far", "");
+    setup.resolver.asked_anew();
+    setup.server.answer(&invite, "200 OK", "far", "");
     let mut back = Agent::accept(&listener);
     assert_eq!(back.expect("SIP/2.0 200").get("Call-ID"), "c17");
 }
 
-/// A TCP connection closes under a BYE: nothing repeats it there, so it goes out again on another connection, and once
-/// it is answered no more.
+/// A TCP connection closes before a BYE on it is answered. BYEs are not retransmitted over TCP, so it is resent on
+/// another connection, but not after it has been answered.
 #[rstest]
 #[case::towards_the_caller(true)]
 #[case::towards_the_server(false)]
-fn a_bye_moves_on_when_its_connection_closes(#[case] to_caller: bool) {
+fn bye_is_resent_on_a_new_connection(#[case] to_caller: bool) {
     let (listener, at) = listen();
-    let (mut site, _, _) = standing(On::Tcp, "c18");
-    let mut caller = Agent::tcp(site.gate);
+    let (mut setup, _, _) = established_call(Transport::Tcp, "c18");
+    let mut caller = Agent::tcp(setup.gatekeeper);
     caller.own = at;
     caller.invite("c19");
-    let invite = site.server.expect("INVITE");
-    site.server.answer(&invite, "200 OK", "far", "v=0\r\n");
+    let invite = setup.server.expect("INVITE");
+    setup.server.answer(&invite, "200 OK", "far", "v=0\r\n");
     let ok = caller.expect("SIP/2.0 200");
     caller.in_dialog(&ok, "ACK", 1);
     let (bye, back) = if to_caller {
-        site.server.bye_from_server(&invite, "far");
+        setup.server.bye_from_server(&invite, "far");
         let bye = caller.expect("BYE");
-        drop(caller); // and has not answered it
+        drop(caller); // without a response to the BYE
         (bye, listener)
     } else {
         caller.in_dialog(&ok, "BYE", 2);
-        let bye = site.server.expect("BYE");
-        drop(std::mem::replace(&mut site.server, Agent::udp(site.gate)));
-        (bye, site.listener.take().unwrap())
+        let bye = setup.server.expect("BYE");
+        drop(std::mem::replace(&mut setup.server, Agent::udp(setup.gatekeeper)));
+        (bye, setup.listener.take().unwrap())
     };
     let mut again = Agent::accept(&back);
     let moved = again.expect("BYE");
     assert_eq!((moved.get("Via"), moved.get("CSeq")), (bye.get("Via"), bye.get("CSeq")), "the same request");
     again.answer(&moved, "200 OK", "", "");
-    site.resolver.asked_anew();
+    setup.resolver.asked_anew();
     drop(again);
-    site.resolver.asked_anew();
+    setup.resolver.asked_anew();
     back.set_nonblocking(true).unwrap();
-    assert!(back.accept().is_err(), "it was answered");
+    assert!(back.accept().is_err(), "an answered BYE is not resent");
 }
 
-/// One program may have both fronts; each has its own callers, servers and calls.
+/// One process may run both frontends; each has its own callers, servers and calls.
 #[test]
-fn both_fronts_in_one_program() {
+fn both_frontends_run_in_one_process() {
     let (listener, at) = listen();
     let mut server = Agent::udp(SocketAddr::from(([127, 0, 0, 1], 9)));
     let platform = Resolver::new(vec![line("s-1", at, 0)]);
     let sip = Resolver::new(vec![line("s-1", server.own, 0)]);
-    let (mut program, gate, sip_gate) = Program::both(&platform, &sip, "_sip._udp.pool.lan");
-    let mut far = Lines::accept(&listener);
-    let mut lines = Lines::connect(gate);
+    let (mut program, gatekeeper, sip_gatekeeper) = Program::both(&platform, &sip, "_sip._udp.pool.lan");
+    let mut platform_server = Lines::accept(&listener);
+    let mut lines = Lines::connect(gatekeeper);
     lines.start("9b1f03aa5c7e2d41", 9000, 0);
-    let start = far.expect("START");
+    let start = platform_server.expect("START");
     sip.asked_anew();
-    let mut caller = Agent::udp(sip_gate);
+    let mut caller = Agent::udp(sip_gatekeeper);
     caller.invite("c22");
     let invite = server.expect("INVITE");
     server.answer(&invite, "200 OK", "far", "");
     let ok = caller.expect("SIP/2.0 200");
     caller.in_dialog(&ok, "ACK", 1);
-    far.started(&start["tag"]);
+    platform_server.started(&start["tag"]);
     lines.expect("STARTED");
     program.terminate();
-    far.finish(&start["tag"], 16, serde_json::json!({}));
+    platform_server.finish(&start["tag"], 16, serde_json::json!({}));
     assert_eq!(lines.expect("FINISH")["rc"], 16);
     server.expect("BYE");
     caller.expect("BYE");
-    assert!(program.ended().success(), "it ends once both fronts have");
+    assert!(program.ended().success(), "the program exits after both frontends have ended");
 }
 
-/// SIGTERM: what stands may go on for 3 s, then it is ended on both sides, and the program ends well.
+/// After SIGTERM, established calls may continue for 3 s; then they are released on both sides and the program exits
+/// with success.
 #[test]
-fn a_planned_stop_ends_what_still_stands() {
-    let (mut site, _, _) = standing(On::Udp, "c19");
-    site.program.terminate();
-    site.server.expect("BYE");
-    site.caller.expect("BYE");
-    assert!(site.program.ended().success());
-    assert!(!site.program.rest_of_log().contains("invariant"));
+fn graceful_stop_ends_established_calls() {
+    let (mut setup, _, _) = established_call(Transport::Udp, "c19");
+    setup.program.terminate();
+    setup.server.expect("BYE");
+    setup.caller.expect("BYE");
+    assert!(setup.program.ended().success());
+    assert!(!setup.program.rest_of_log().contains("invariant"));
 }
 
-/// Repeats of an INVITE, its answer, and SIGTERM are all there before the program may run: one INVITE went out, the call gets its
-/// one answer, and both sides hear its end.
+/// Retransmissions of an INVITE, its answer and SIGTERM are all pending when the paused program resumes: the server
+/// gets one INVITE, the caller gets one answer, and the call is released on both sides.
 #[test]
-fn a_repeated_invite_in_a_planned_stop_is_no_second_call() {
-    let (mut site, invite) = site(On::Udp, 9000, "c30");
-    site.program.pause();
-    site.program.terminate();
+fn retransmitted_invite_during_a_graceful_stop_starts_no_second_call() {
+    let (mut setup, invite) = setup(Transport::Udp, 9000, "c30");
+    setup.program.pause();
+    setup.program.terminate();
     for _ in 0..3 {
-        site.caller.invite("c30");
+        setup.caller.invite("c30");
     }
-    site.server.answer(&invite, "200 OK", "far", "v=0\r\n");
-    site.program.proceed();
-    site.server.expect("ACK");
-    let ok = site.caller.expect("SIP/2.0 200");
-    site.caller.invite("c30");
-    site.caller.in_dialog(&ok, "ACK", 1);
-    site.caller.expect("BYE");
-    site.server.expect("BYE");
-    assert!(site.program.ended().success());
-    assert_eq!(site.server.count("INVITE"), 1);
-    assert!(!site.program.rest_of_log().contains("invariant"));
-}
-
-/// The caller's time ends and the server's 200 is there in the same turn: one final answer, and what stands at the server is ended.
+    setup.server.answer(&invite, "200 OK", "far", "v=0\r\n");
+    setup.program.proceed();
+    setup.server.expect("ACK");
+    let ok = setup.caller.expect("SIP/2.0 200");
+    setup.caller.invite("c30");
+    setup.caller.in_dialog(&ok, "ACK", 1);
+    setup.caller.expect("BYE");
+    setup.server.expect("BYE");
+    assert!(setup.program.ended().success());
+    assert_eq!(setup.server.count("INVITE"), 1);
+    assert!(!setup.program.rest_of_log().contains("invariant"));
+}
+
+/// The deadline and the server's 200 are handled in the same turn: the caller gets one final response, and the call
+/// at the server is released.
 #[test]
-fn an_answer_in_the_turn_of_its_time_out_is_ended() {
-    let (mut site, invite) = site(On::Udp, 1_500, "c31");
-    site.program.crossed(|| {
-        site.server.answer(&invite, "200 OK", "far", "v=0\r\n");
-        std::thread::sleep(Duration::from_millis(1_600)); // its time is over
+fn answer_in_the_turn_of_its_timeout_is_released() {
+    let (mut setup, invite) = setup(Transport::Udp, 1_500, "c31");
+    setup.program.crossed(|| {
+        setup.server.answer(&invite, "200 OK", "far", "v=0\r\n");
+        std::thread::sleep(Duration::from_millis(1_600)); // past the deadline
     });
-    let last = site.caller.expect("SIP/2.0 4");
+    let last = setup.caller.expect("SIP/2.0 4");
     assert!(last.is("SIP/2.0 408"), "{}", last.first());
-    site.server.expect("ACK");
-    site.server.expect("BYE");
-    assert_eq!(site.caller.count("SIP/2.0 200"), 0);
+    setup.server.expect("ACK");
+    setup.server.expect("BYE");
+    assert_eq!(setup.caller.count("SIP/2.0 200"), 0);
 }
 
-/// A server goes and is back at its address before the calls of the one before have counted as cut: new ones are its own.
+/// A server is removed and listed again at its address before its earlier calls count as lost: calls set up after its
+/// return are not ended with the earlier ones.
 #[test]
-fn a_server_that_goes_and_returns_keeps_its_new_calls() {
-    let (mut site, _, _) = standing(On::Udp, "c32");
-    let at = site.server.own;
-    let gone = site.resolver.change(0, Vec::clear);
-    site.resolver.told(gone);
-    let back = site.resolver.change(0, |list| list.push(line("s-1", at, 0)));
-    site.resolver.told(back);
-    site.resolver.asked_often(1); // the list has been taken
-    let mut other = Agent::udp(site.gate);
+fn removed_and_restored_server_keeps_its_new_calls() {
+    let (mut setup, _, _) = established_call(Transport::Udp, "c32");
+    let at = setup.server.own;
+    let gone = setup.resolver.change(0, Vec::clear);
+    setup.resolver.told(gone);
+    let back = setup.resolver.change(0, |list| list.push(line("s-1", at, 0)));
+    setup.resolver.told(back);
+    setup.resolver.asked_often(1); // the list has been applied
+    let mut other = Agent::udp(setup.gatekeeper);
     other.invite("c33");
-    let invite = site.server.expect("INVITE");
-    site.server.answer(&invite, "200 OK", "far", "v=0\r\n");
+    let invite = setup.server.expect("INVITE");
+    setup.server.answer(&invite, "200 OK", "far", "v=0\r\n");
     let ok = other.expect("SIP/2.0 200");
     other.in_dialog(&ok, "ACK", 1);
-    site.caller.expect("BYE"); // the first process's call is cut with it
-    site.resolver.asked_often(5); // over a second
+    setup.caller.expect("BYE"); // the call from before the removal is released
+    setup.resolver.asked_often(5); // more than a second
     other.in_dialog(&ok, "BYE", 2);
     other.expect("SIP/2.0 200");
-    site.server.expect("BYE");
-    assert_eq!(other.count("BYE"), 0, "it was not cut");
+    setup.server.expect("BYE");
+    assert_eq!(other.count("BYE"), 0, "the new call was released with the earlier one");
 }
 
-/// Nothing listens where a server did: its process has ended, and its calls with it.
+/// Connections to the address of a server are refused: its process has ended, and its calls are released.
 #[test]
-fn calls_of_a_dead_server_are_ended_towards_their_callers() {
-    let (mut site, _, _) = standing(On::Tcp, "c20");
-    site.listener = None;
-    drop(std::mem::replace(&mut site.server, Agent::udp(site.gate)));
-    site.resolver.asked_anew(); // by then the program has seen the connection's end
-    site.caller.invite("c21");
-    let bye = site.caller.expect("BYE");
+fn calls_of_a_terminated_server_are_released_to_their_callers() {
+    let (mut setup, _, _) = established_call(Transport::Tcp, "c20");
+    setup.listener = None;
+    drop(std::mem::replace(&mut setup.server, Agent::udp(setup.gatekeeper)));
+    setup.resolver.asked_anew(); // the program has detected the end of the connection
+    setup.caller.invite("c21");
+    let bye = setup.caller.expect("BYE");
     assert_eq!(bye.get("Call-ID"), "c20");
-    site.caller.cancel("c21");
-    site.caller.expect("SIP/2.0 487");
+    setup.caller.cancel("c21");
+    setup.caller.expect("SIP/2.0 487");
 }
 
 #[rstest]
@@ -529,37 +540,43 @@
 #[case::no_via("Via: ", "X-Via: ", None)]
 #[case::old_version("SIP/2.0\r\n", "SIP/1.0\r\n", None)]
 #[case::no_sip("INVITE", "IN\0VITE", None)]
-fn malformed_requests_get_400_or_nothing(#[case] from: &str, #[case] to: &str, #[case] hears: Option<&str>) {
-    let (mut site, _) = site(On::Udp, 9000, "c18");
-    let mut odd = Agent::udp(site.gate);
-    let text = odd.request("INVITE", "bad", "", "").replace(from, to);
-    odd.send(&text);
-    match hears {
-        Some(status) => drop(odd.expect(status)),
+fn malformed_requests_are_rejected_or_dropped(
+    #[case] from: &str,
+    #[case] to: &str,
+    #[case] expected: Option<&str>,
+) {
+    let (mut setup, _) = setup(Transport::Udp, 9000, "c18");
+    let mut sender = Agent::udp(setup.gatekeeper);
+    let text = sender.request("INVITE", "bad", "", "").replace(from, to);
+    sender.send(&text);
+    match expected {
+        Some(status) => drop(sender.expect(status)),
         None => {
-            let options = odd.request("OPTIONS", "o3", "", "");
-            odd.send(&options);
-            assert_eq!(odd.expect("SIP/2.0 200").get("Call-ID"), "o3");
-            assert_eq!(odd.got.len(), 1, "nothing for what was dropped");
+            let options = sender.request("OPTIONS", "o3", "", "");
+            sender.send(&options);
+            assert_eq!(sender.expect("SIP/2.0 200").get("Call-ID"), "o3");
+            assert_eq!(sender.got.len(), 1, "no response to the dropped request");
         }
     }
-    assert!(site.program.runs());
-    site.caller.cancel("c18");
-    site.caller.expect("SIP/2.0 487");
+    assert!(setup.program.runs());
+    setup.caller.cancel("c18");
+    setup.caller.expect("SIP/2.0 487");
 }
 
-/// What a stand-in server saw of a call: when its INVITEs came, and when it ended them.
-struct Seen {
+/// The INVITEs that a simulated server received (Call-ID, time, Session-ID), and the time of each final response by
+/// Call-ID.
+struct ServerRecord {
     invites: Vec<(String, Instant, String)>,
     finals: BTreeMap<String, Instant>,
 }
 
-/// A stand-in that answers by itself: rings, then answers, and turns every thirtieth call away; it records all.
-fn busy_server(socket: UdpSocket, until: Instant) -> thread::JoinHandle<Seen> {
+/// Runs a simulated server that sends 180 and, after 60 ms, 200 or, for each thirtieth call, 503. It records all
+/// INVITEs.
+fn spawn_server(socket: UdpSocket, until: Instant) -> thread::JoinHandle<ServerRecord> {
     socket.set_read_timeout(Some(Duration::from_millis(20))).unwrap();
     thread::spawn(move || {
         let own = socket.local_addr().unwrap();
-        let mut seen = Seen { invites: Vec::new(), finals: BTreeMap::new() };
+        let mut record = ServerRecord { invites: Vec::new(), finals: BTreeMap::new() };
         let mut buffer = [0; 65_535];
         let mut pending: Vec<(Instant, Got)> = Vec::new();
         while Instant::now() < until {
@@ -567,9 +584,9 @@
                 let text = String::from_utf8_lossy(&buffer[..n]).into_owned();
                 let got = Got { text, at: Instant::now(), from };
                 if got.is("INVITE") {
-                    let known = seen.invites.iter().any(|(id, _, _)| id == got.get("Call-ID"));
+                    let known = record.invites.iter().any(|(id, _, _)| id == got.get("Call-ID"));
                     let (id, session) = (got.get("Call-ID").to_string(), got.get("Session-ID").to_string());
-                    seen.invites.push((id, got.at, session));
+                    record.invites.push((id, got.at, session));
                     if !known {
                         let _ = socket.send_to(got.response("180 Ringing", "far", "", "").as_bytes(), from);
                         pending.push((got.at + Duration::from_millis(60), got));
@@ -581,86 +598,96 @@
             let now = Instant::now();
             for (n, (_, invite)) in pending.extract_if(.., |(at, _)| *at <= now).enumerate() {
                 let contact = format!("Contact: <sip:{own}>\r\n");
-                let full = (seen.finals.len() + n) % 30 == 29;
-                let status = if full { "503 Service Unavailable" } else { "200 OK" };
+                let overloaded = (record.finals.len() + n) % 30 == 29;
+                let status = if overloaded { "503 Service Unavailable" } else { "200 OK" };
                 let text = invite.response(status, "far", &contact, "");
-                seen.finals.insert(invite.get("Call-ID").to_string(), Instant::now());
+                record.finals.insert(invite.get("Call-ID").to_string(), Instant::now());
                 let _ = socket.send_to(text.as_bytes(), invite.from);
             }
         }
-        seen
+        record
     })
 }
 
-/// The brief's test. Many calls at two servers, one of which drains on the way: every call gets exactly one final
-/// answer, none has two attempts out, and no set-up reaches the draining server once the window has passed.
+/// Many calls run at two servers, one of which starts to drain. Every call gets exactly one final response and has at
+/// most one open attempt, and no INVITE reaches the draining server after the drain window.
 #[test]
-fn many_calls_and_a_drain_keep_the_rules() {
+fn calls_during_a_drain_get_one_answer_and_one_attempt_at_a_time() {
     const CALLS: usize = 300;
     let sockets = [UdpSocket::bind("127.0.0.1:0").unwrap(), UdpSocket::bind("127.0.0.1:0").unwrap()];
     let at: Vec<SocketAddr> = sockets.iter().map(|s| s.local_addr().unwrap()).collect();
     let resolver = Resolver::new(vec![line("s-1", at[0], 0), line("s-2", at[1], 1)]);
-    let (_program, gate, _) = Program::sip(&resolver, "_sip._udp.pool.lan", 6000);
+    let (_program, gatekeeper, _) = Program::sip(&resolver, "_sip._udp.pool.lan", 6000);
     resolver.asked_anew();
     let until = Instant::now() + Duration::from_secs(11);
-    let servers = sockets.map(|socket| busy_server(socket, until));
-    let mut caller = Agent::udp(gate);
+    let servers = sockets.map(|socket| spawn_server(socket, until));
+    let mut caller = Agent::udp(gatekeeper);
     let mut finals: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
-    let mut told = None;
+    let mut list_serial = None;
     for n in 0..CALLS {
         let call = format!("many-{n}");
         let pool = n % 2;
         let text = caller.request("INVITE", &call, "", "");
-        caller.send(&text.replacen(&format!("@{gate}"), &format!("@{gate};pool={pool}"), 1));
+        caller.send(&text.replacen(&format!("@{gatekeeper}"), &format!("@{gatekeeper};pool={pool}"), 1));
         if n == CALLS / 2 {
             let serial = resolver.change(1, |list| list[0].draining = true);
-            told = Some(serial);
+            list_serial = Some(serial);
         }
-        take_answers(&mut caller, &mut finals, Duration::from_millis(8));
+        collect_final_responses(&mut caller, &mut finals, Duration::from_millis(8));
     }
     while Instant::now() < until {
-        take_answers(&mut caller, &mut finals, Duration::from_millis(50));
+        collect_final_responses(&mut caller, &mut finals, Duration::from_millis(50));
     }
-    let told = resolver.told(told.unwrap());
-    let seen = servers.map(|server| server.join().unwrap());
+    let notified_at = resolver.told(list_serial.unwrap());
+    let records = servers.map(|server| server.join().unwrap());
 
-    assert_eq!(finals.len(), CALLS, "every call has a final answer");
+    assert_eq!(finals.len(), CALLS, "calls with a final response");
     for (call, answers) in &finals {
         assert_eq!(answers.len(), 1, "{call} got {answers:?}");
     }
-    let stood = finals.values().flatten().filter(|a| a.starts_with("SIP/2.0 200")).count();
-    assert!(stood > CALLS / 2, "only {stood} calls stood");
-    let late: Vec<Duration> = seen[0]
+    let established = finals.values().flatten().filter(|a| a.starts_with("SIP/2.0 200")).count();
+    assert!(established > CALLS / 2, "only {established} calls were established");
+    let late: Vec<Duration> = records[0]
         .invites
         .iter()
-        .filter(|(_, at, _)| *at > told + WINDOW)
-        .map(|(_, at, _)| *at - told)
+        .filter(|(_, at, _)| *at > notified_at + DRAIN_WINDOW)
+        .map(|(_, at, _)| *at - notified_at)
         .collect();
-    assert!(late.is_empty(), "set-ups at the draining server {late:?} after the news");
-    assert!(seen[0].invites.iter().any(|(_, at, _)| *at < told), "it had calls before");
-    assert!(seen[1].invites.iter().any(|(_, at, _)| *at > told + WINDOW), "the other went on");
-    // By call: each attempt begins only after the one before it has had its end.
+    assert!(late.is_empty(), "INVITEs reached the draining server {late:?} after the list change");
+    assert!(
+        records[0].invites.iter().any(|(_, at, _)| *at < notified_at),
+        "the draining server had no calls before the list change"
+    );
+    assert!(
+        records[1].invites.iter().any(|(_, at, _)| *at > notified_at + DRAIN_WINDOW),
+        "the other server got no calls after the drain window"
+    );
+    // Each attempt of a call starts only after the end of the previous one.
     let mut attempts: BTreeMap<&str, BTreeMap<&str, (Instant, Option<Instant>)>> = BTreeMap::new();
-    for server in &seen {
+    for server in &records {
         for (id, at, session) in &server.invites {
             let end = server.finals.get(id).copied();
             attempts.entry(session).or_default().entry(id).or_insert((*at, end));
         }
     }
-    assert!(attempts.values().any(|tries| tries.len() > 1), "some calls were tried again");
-    for (session, tries) in attempts {
-        let mut spans: Vec<_> = tries.into_values().collect();
+    assert!(attempts.values().any(|call_attempts| call_attempts.len() > 1), "no call had a second attempt");
+    for (session, call_attempts) in attempts {
+        let mut spans: Vec<_> = call_attempts.into_values().collect();
         spans.sort();
         for pair in spans.windows(2) {
-            let ended = pair[0].1.expect("an attempt followed by another had its end");
-            assert!(pair[1].0 >= ended, "{session}: two attempts out");
+            let ended = pair[0].1.expect("an attempt that another one follows has ended");
+            assert!(pair[1].0 >= ended, "{session}: two attempts were open at once");
         }
     }
 }
 
-/// Takes what has come for a caller: final answers of INVITEs are noted and ACKed, BYEs answered.
-fn take_answers(caller: &mut Agent, finals: &mut BTreeMap<String, BTreeSet<String>>, patience: Duration) {
-    while let Some(got) = caller.next(patience) {
+/// Reads the messages to a caller; records and ACKs final responses to INVITEs and ignores the rest.
+fn collect_final_responses(
+    caller: &mut Agent,
+    finals: &mut BTreeMap<String, BTreeSet<String>>,
+    timeout: Duration,
+) {
+    while let Some(got) = caller.next(timeout) {
         if got.get("CSeq") == "1 INVITE" && got.is("SIP/2.0") && !got.is("SIP/2.0 1") {
             let call = got.get("Call-ID").to_string();
             let answer = format!("{} {}", got.first(), got.tag("To"));
@@ -668,65 +695,66 @@
             if got.is("SIP/2.0 200") {
                 caller.in_dialog(&got, "ACK", 1);
             } else {
-                let ack = ack_of(caller, &got, &call);
+                let ack = ack_for(caller, &got, &call);
                 caller.send(&ack);
             }
         }
     }
 }
 
-/// A reload names another resolver for this front too.
+/// A reload with another resolver applies to the SIP frontend too.
 #[test]
-fn a_new_configuration_names_another_resolver() {
-    let (mut site, invite) = site(On::Udp, 9000, "one");
-    site.server.answer(&invite, "503 Service Unavailable", "far", "");
-    site.server.expect("ACK");
+fn reload_switches_to_another_resolver() {
+    let (mut setup, invite) = setup(Transport::Udp, 9000, "one");
+    setup.server.answer(&invite, "503 Service Unavailable", "far", "");
+    setup.server.expect("ACK");
     let other = Agent::udp(SocketAddr::from(([127, 0, 0, 1], 9)));
     let second = Resolver::new(vec![line("s-2", other.own, 0)]).numbered(9);
-    site.program.reload(second.address);
-    second.asked_often(2); // the first answer has been taken by then
-    let mut caller = Agent::udp(site.gate);
+    setup.program.reload(second.address);
+    second.asked_often(2); // the first response has been processed
+    let mut caller = Agent::udp(setup.gatekeeper);
     caller.invite("two");
     let mut other = other;
     other.expect("INVITE");
-    assert!(site.program.runs());
+    assert!(setup.program.runs());
 }
 
-/// Peers that connect and say nothing do not keep others out: the longest unused connection makes way.
+/// Idle connections do not exclude new callers: at the limit, the connection unused for longest is closed.
 #[test]
-fn silent_connections_make_way_for_new_callers() {
-    let (mut site, _, _) = standing(On::Tcp, "one");
-    let silent: Vec<_> = (0..300).map(|_| std::net::TcpStream::connect(site.gate).unwrap()).collect();
-    let mut caller = Agent::tcp(site.gate);
+fn idle_connections_are_closed_for_new_callers() {
+    let (mut setup, _, _) = established_call(Transport::Tcp, "one");
+    let idle: Vec<_> = (0..300).map(|_| std::net::TcpStream::connect(setup.gatekeeper).unwrap()).collect();
+    let mut caller = Agent::tcp(setup.gatekeeper);
     caller.invite("two");
     caller.expect("SIP/2.0 100");
-    let invite = site.server.expect("INVITE");
-    site.server.answer(&invite, "200 OK", "far", "v=0\r\n");
+    let invite = setup.server.expect("INVITE");
+    setup.server.answer(&invite, "200 OK", "far", "v=0\r\n");
     caller.expect("SIP/2.0 200");
-    drop(silent);
+    drop(idle);
 }
 
-/// Out of service: OPTIONS and new INVITEs get 503 with Retry-After, a dialog goes on to its end; and back again.
+/// Out of service, OPTIONS and new INVITEs get 503 with Retry-After and existing dialogs continue; in service again,
+/// OPTIONS gets 200.
 #[test]
-fn a_drain_turns_new_calls_away_and_lets_dialogs_end() {
-    let (mut site, invite, _) = standing(On::Udp, "d1");
-    let door = site.program.door.expect("its door was asked for");
-    assert_eq!(ask(door, "PUT", "/control/out-of-service").0, 200);
-    assert_eq!(ask(door, "GET", "/control/ready").0, 503);
-    let options = site.caller.request("OPTIONS", "o7", "", "");
-    site.caller.send(&options);
-    assert_eq!(site.caller.expect("SIP/2.0 503").get("Retry-After"), "1");
-    eventually("a new INVITE is turned away", || {
-        site.caller.invite("d2");
-        let refused = site.caller.expect("SIP/2.0 503");
-        let ack = ack_of(&site.caller, &refused, "d2");
-        site.caller.send(&ack);
-        (refused.get("Retry-After") == "1").then_some(())
+fn drain_rejects_new_calls_and_keeps_dialogs() {
+    let (mut setup, invite, _) = established_call(Transport::Udp, "d1");
+    let admin = setup.program.door.expect("the admin address is configured");
+    assert_eq!(ask(admin, "PUT", "/control/out-of-service").0, 200);
+    assert_eq!(ask(admin, "GET", "/control/ready").0, 503);
+    let options = setup.caller.request("OPTIONS", "o7", "", "");
+    setup.caller.send(&options);
+    assert_eq!(setup.caller.expect("SIP/2.0 503").get("Retry-After"), "1");
+    eventually("a new INVITE is rejected", || {
+        setup.caller.invite("d2");
+        let rejection = setup.caller.expect("SIP/2.0 503");
+        let ack = ack_for(&setup.caller, &rejection, "d2");
+        setup.caller.send(&ack);
+        (rejection.get("Retry-After") == "1").then_some(())
     });
-    site.server.bye_from_server(&invite, "far");
-    site.caller.expect("BYE");
-    assert_eq!(ask(door, "PUT", "/control/in-service").0, 200);
-    let options = site.caller.request("OPTIONS", "o8", "", "");
-    site.caller.send(&options);
-    site.caller.expect("SIP/2.0 200");
+    setup.server.bye_from_server(&invite, "far");
+    setup.caller.expect("BYE");
+    assert_eq!(ask(admin, "PUT", "/control/in-service").0, 200);
+    let options = setup.caller.request("OPTIONS", "o8", "", "");
+    setup.caller.send(&options);
+    setup.caller.expect("SIP/2.0 200");
 }
