--- a/src/sip/transaction.rs
+++ b/src/sip/transaction.rs
@@ -249,9 +249,9 @@
     /// Runs the timers that have expired.
     pub fn tick(&mut self, now: Micros) -> TimerAction {
         if self.state != State::Terminated && now >= self.expires_at {
-            let unheard = self.invite && self.state == State::Completed;
+            let awaits_ack = self.invite && self.state == State::Completed;
             (self.state, self.retransmission) = (State::Terminated, None);
-            return if unheard { TimerAction::TimedOut } else { TimerAction::Nothing };
+            return if awaits_ack { TimerAction::TimedOut } else { TimerAction::Nothing };
         }
         let Some(retransmission) = self.retransmission.filter(|r| now >= r.at) else {
             return TimerAction::Nothing;
