--- a/src/fleet/ask.rs
+++ b/src/fleet/admin_query.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use super::status::{self, Line, Status, table};
+use super::status::{self, CommittedChange, Status, members_table};
 use crate::cli::{Format, Question};
 
 /// The endpoint answers within a second, or there is nobody to ask.
@@ -46,7 +46,7 @@
 }
 
 /// Asks, and prints the answer.
-pub fn ask(question: Question, door: SocketAddr, format: Format) -> ExitCode {
+pub fn run(question: Question, door: SocketAddr, format: Format) -> ExitCode {
     let path = if question == Question::Log { "/control/fleet/log" } else { "/control/fleet" };
     let (status, body) = match get(door, path) {
         Ok(answer) => answer,
@@ -60,8 +60,8 @@
         return ExitCode::FAILURE;
     }
     if question == Question::Log {
-        return match serde_json::from_str::<Vec<Line>>(&body) {
-            Ok(lines) if format == Format::Text => print(&status::log(&lines)),
+        return match serde_json::from_str::<Vec<CommittedChange>>(&body) {
+            Ok(lines) if format == Format::Text => print(&status::changes_table(&lines)),
             Ok(_) => print(&(body + "\n")),
             Err(e) => unreadable(&e),
         };
@@ -76,11 +76,11 @@
         (Question::Members, Format::Json) => {
             println!("{}", serde_json::to_string(&object.members).unwrap_or_default());
         }
-        (Question::Members, Format::Text) => print!("{}", table(&object.members)),
+        (Question::Members, Format::Text) => print!("{}", members_table(&object.members)),
         (Question::Owners, Format::Json) => {
             println!("{}", serde_json::to_string(&object.owners).unwrap_or_default());
         }
-        (Question::Owners | Question::Log, _) => print!("{}", status::owners(&object.owners)),
+        (Question::Owners | Question::Log, _) => print!("{}", status::owners_table(&object.owners)),
     }
     ExitCode::SUCCESS
 }
--- a/src/fleet/consensus_node.rs
+++ b/src/fleet/consensus_node.rs
@@ -72,7 +72,7 @@
     next_voter: usize,
     leader: Option<MemberId>,
     last_answer_at: Option<Micros>,
-    recent_changes: VecDeque<status::Line>,
+    recent_changes: VecDeque<status::CommittedChange>,
 }
 
 impl State {
@@ -150,11 +150,11 @@
         state.wal_writer = Some(wal_writer);
         state.fault = None;
         state.voter = Some(Voter::new(now, config, recovered, nonce, &mut actions));
-        self.carry_out(state, now, actions, outgoing);
+        self.execute_actions(state, now, actions, outgoing);
     }
 
     /// Whether it ought to vote and does not.
-    pub fn is_missing_vote(&self) -> bool {
+    pub fn needs_voter_start(&self) -> bool {
         self.config.is_voter() && self.state.borrow().voter.is_none()
     }
 
@@ -171,7 +171,7 @@
     }
 
     /// Asks for a resource from now on.
-    pub fn want(&self, resource: ResourceName) {
+    pub fn request_resource(&self, resource: ResourceName) {
         self.state.borrow_mut().lease_holder.add_wanted(resource);
     }
 
@@ -199,7 +199,7 @@
             voter.tick(now, &mut actions);
             deadline = deadline.min(voter.next_deadline(now));
         }
-        self.carry_out(state, now, actions, outgoing);
+        self.execute_actions(state, now, actions, outgoing);
         self.propose_changes(state, now, outgoing);
         log_lease_events(state.lease_holder.tick(now));
         self.request_leases(state, now, outgoing);
@@ -220,7 +220,7 @@
                 voter.handle_disk_failure(&mut actions);
             }
         }
-        self.carry_out(state, now, actions, outgoing);
+        self.execute_actions(state, now, actions, outgoing);
     }
 
     /// Handles a message of another member.
@@ -234,7 +234,7 @@
                 let Some(voter) = &mut state.voter else { return };
                 let mut actions = Vec::new();
                 voter.step(now, *consensus, &mut actions);
-                self.carry_out(state, now, actions, outgoing);
+                self.execute_actions(state, now, actions, outgoing);
             }
             Payload::LeaseRequest(request) if request.requester.member == message.from => {
                 self.handle_lease_request(state, now, request, outgoing);
@@ -288,7 +288,7 @@
         if voter.propose(command, &mut actions).is_err() {
             manager.cancel_changes(&changes);
         }
-        self.carry_out(state, now, actions, outgoing);
+        self.execute_actions(state, now, actions, outgoing);
     }
 
     fn handle_lease_request(
@@ -312,7 +312,7 @@
         } else {
             self.decline_request(state, now, request, outgoing);
         }
-        self.carry_out(state, now, actions, outgoing);
+        self.execute_actions(state, now, actions, outgoing);
     }
 
     /// Answers a request as one that does not lead.
@@ -348,7 +348,7 @@
     }
 
     /// Carries out the voter's actions, and those that come of them before the next.
-    fn carry_out(
+    fn execute_actions(
         &self,
         state: &mut State,
         now: Micros,
@@ -357,14 +357,14 @@
     ) {
         let mut actions = VecDeque::from(actions);
         while let Some(action) = actions.pop_front() {
-            let further = self.carry_out_one(state, now, action, outgoing);
+            let further = self.execute_action(state, now, action, outgoing);
             for action in further.into_iter().rev() {
                 actions.push_front(action);
             }
         }
     }
 
-    fn carry_out_one(
+    fn execute_action(
         &self,
         state: &mut State,
         now: Micros,
@@ -433,7 +433,7 @@
     }
 
     /// The changes that were committed of late, the oldest first.
-    pub fn recent_changes(&self) -> Vec<status::Line> {
+    pub fn recent_changes(&self) -> Vec<status::CommittedChange> {
         self.state.borrow().recent_changes.iter().cloned().collect()
     }
 }
@@ -452,13 +452,13 @@
     }
 }
 
-fn record_changes(recent: &mut VecDeque<status::Line>, index: u64, entry: &Entry) {
+fn record_changes(recent: &mut VecDeque<status::CommittedChange>, index: u64, entry: &Entry) {
     let Some(command) = &entry.command else { return };
     for change in decode_changes(&command.body) {
         if recent.len() >= MAX_RECENT_CHANGES {
             recent.pop_front();
         }
-        recent.push_back(status::Line {
+        recent.push_back(status::CommittedChange {
             index,
             term: entry.term,
             work: change.resource.to_string(),
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -4,15 +4,15 @@
 //! (`consensus_node`), and the command line's questions to the admin endpoint (`ask`). Off unless the file has a `fleet`
 //! section: then there is no socket, task or table. The core knows none of it; it is told a number of gatekeepers.
 
-pub mod ask;
+pub mod admin_query;
 mod consensus_node;
+mod framing;
 mod peer_connections;
 mod runtime;
 pub mod settings;
 pub mod status;
-mod stream;
 #[cfg(feature = "faults")]
 mod test_effects;
 mod wal_writer;
 
-pub use runtime::{Joined, join};
+pub use runtime::{FleetNode, join};
--- a/src/fleet/peer_connections.rs
+++ b/src/fleet/peer_connections.rs
@@ -16,7 +16,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
 
-use super::stream;
+use super::framing;
 
 /// Maximum number of messages that wait for one peer; further ones are dropped.
 const MAX_QUEUED: usize = 64;
@@ -67,7 +67,7 @@
                 Some(open) => open,
                 None => connection.insert((address, TcpStream::connect(address).await?)),
             };
-            stream::write(stream, &frame).await?;
+            framing::write_frame(stream, &frame).await?;
             Ok::<_, io::Error>(())
         });
         if !matches!(sent.await, Ok(Ok(()))) {
--- a/src/fleet/runtime.rs
+++ b/src/fleet/runtime.rs
@@ -1,7 +1,7 @@
 //! The fleet's runtime: moves the membership's frames, runs its timers, and tells it what this process does. It decides nothing, and
 //! waits for no peer: a datagram that the system does not take at once is dropped, and a stream has a bound in time.
 //!
-//! [`Joined::serve`] owns all tasks of this process as a member: they end when it is dropped or its `stop` completes; tasks of single
+//! [`FleetNode::serve`] owns all tasks of this process as a member: they end when it is dropped or its `stop` completes; tasks of single
 //! streams end by their timeouts.
 //!
 //! At an upgrade the newer process binds the same address once the older one, which knows by `platform::handover` that the newer
@@ -32,10 +32,10 @@
 use tokio::sync::{Notify, mpsc};
 
 use super::consensus_node::{ConsensusNode, VoterConfig};
+use super::framing;
 use super::peer_connections::PeerConnections;
-use super::settings::Fleet;
+use super::settings::FleetSettings;
 use super::status::{Dropped, Status};
-use super::stream;
 use crate::Micros;
 use crate::clock;
 use crate::operate::{self, AdminService};
@@ -82,7 +82,7 @@
 
 /// One member, as the program holds it.
 struct Member {
-    set: Fleet,
+    settings: FleetSettings,
     membership: RefCell<Membership>,
     started: Instant,
     dropped: Cell<Dropped>,
@@ -107,7 +107,7 @@
     fn status(&self) -> String {
         let membership = self.membership.borrow();
         let consensus = self.consensus.as_ref().map(|node| node.report(self.now()));
-        let status = Status::of(&membership, self.now(), self.set.period, self.dropped.get(), consensus);
+        let status = Status::of(&membership, self.now(), self.settings.period, self.dropped.get(), consensus);
         serde_json::to_string(&status).unwrap_or_default()
     }
 
@@ -121,7 +121,7 @@
 }
 
 /// This process as a member, before it takes part.
-pub struct Joined {
+pub struct FleetNode {
     member: Rc<Member>,
     bound: Option<Bound>,
     admin: Rc<AdminService>,
@@ -144,47 +144,51 @@
 }
 
 /// What this process is among the voters; `None`: there are no voters.
-fn voter_config(set: &Fleet, nonce: u64) -> Option<VoterConfig> {
-    (!set.voters.is_empty()).then(|| VoterConfig {
-        process: ProcessId { member: set.id.clone(), nonce },
-        voters: set.voters.clone(),
-        folder: set.state.clone(),
-        election_timeout: set.period * ELECTION_PERIODS,
-        lease: set.lease,
-        trust_disk: set.trust_disk,
+fn voter_config(settings: &FleetSettings, nonce: u64) -> Option<VoterConfig> {
+    (!settings.voters.is_empty()).then(|| VoterConfig {
+        process: ProcessId { member: settings.id.clone(), nonce },
+        voters: settings.voters.clone(),
+        folder: settings.state_dir.clone(),
+        election_timeout: settings.period * ELECTION_PERIODS,
+        lease: settings.lease,
+        trust_disk: settings.trust_disk,
     })
 }
 
-fn membership_config(set: &Fleet, address: SocketAddr, nonce: u64) -> MembershipConfig {
+fn membership_config(settings: &FleetSettings, address: SocketAddr, nonce: u64) -> MembershipConfig {
     MembershipConfig {
-        id: set.id.clone(),
-        zone: set.zone.as_str().into(),
+        id: settings.id.clone(),
+        zone: settings.zone.as_str().into(),
         version: env!("CARGO_PKG_VERSION").into(),
         address,
-        seeds: set.seeds.clone(),
-        configured: set.known.clone(),
-        period: set.period,
-        retention: set.memory,
+        seeds: settings.seeds.clone(),
+        configured: settings.configured_members.clone(),
+        period: settings.period,
+        retention: settings.retention,
         nonce,
     }
 }
 
 /// Binds the address and tells the admin of the fleet. An address that another process has is no error: it may be the older one
 /// of an upgrade. `ops` is the digest of the operators' file.
-pub async fn join(set: Fleet, ops: u64, admin: &Rc<AdminService>) -> Result<Joined, JoinError> {
-    let bound = match try_bind(set.address).await {
+pub async fn join(
+    settings: FleetSettings,
+    ops: u64,
+    admin: &Rc<AdminService>,
+) -> Result<FleetNode, JoinError> {
+    let bound = match try_bind(settings.address).await {
         Ok(bound) => Some(bound),
         Err(e) if e.kind() == io::ErrorKind::AddrInUse => None,
         Err(e) => {
-            return Err(JoinError::Bind { address: set.address, source: e });
+            return Err(JoinError::Bind { address: settings.address, source: e });
         }
     };
     let draw = || OsRng.try_next_u64().map_err(JoinError::Random);
-    let address = bound.as_ref().map_or(set.address, |b| b.address);
+    let address = bound.as_ref().map_or(settings.address, |b| b.address);
     let nonce = draw()? | 1;
-    let consensus = voter_config(&set, nonce).map(|config| ConsensusNode::new(0, config));
-    let config = membership_config(&set, address, nonce);
-    let settling = Membership::settling_bound(set.period, set.known.len());
+    let consensus = voter_config(&settings, nonce).map(|config| ConsensusNode::new(0, config));
+    let config = membership_config(&settings, address, nonce);
+    let settling = Membership::settling_bound(settings.period, settings.configured_members.len());
     let member = Rc::new(Member {
         membership: RefCell::new(Membership::new(0, config, draw()?)),
         started: Instant::now(),
@@ -200,21 +204,21 @@
         message_streams: Cell::new(0),
         #[cfg(feature = "faults")]
         test_effects: super::test_effects::TestEffects::from_environment(),
-        set,
+        settings,
     });
     if let (Some(consensus), Some(release)) = (&member.consensus, ResourceName::new("release")) {
-        consensus.want(release);
+        consensus.request_resource(release);
         #[cfg(feature = "faults")]
-        member.test_effects.want_resources(consensus);
+        member.test_effects.request_resources(consensus);
     }
     admin.register_fleet(member.clone());
-    Ok(Joined { member, bound, admin: admin.clone() })
+    Ok(FleetNode { member, bound, admin: admin.clone() })
 }
 
-impl Joined {
+impl FleetNode {
     /// Takes part in the fleet until `stop`, then says that it leaves.
     pub async fn serve(self, stop: impl Future<Output = ()>) {
-        let Joined { member, mut bound, admin } = self;
+        let FleetNode { member, mut bound, admin } = self;
         tokio::pin!(stop);
         loop {
             // An older process of an upgrade closes its sockets, and opens them again should the newer one die.
@@ -273,7 +277,7 @@
 
     /// Until a newer process of this gatekeeper serves.
     async fn participate(self: &Rc<Self>, bound: &Bound, admin: &AdminService) {
-        tracing::info!(target: "fleet", id = %self.set.id, address = %bound.address, "takes part in the fleet");
+        tracing::info!(target: "fleet", id = %self.settings.id, address = %bound.address, "takes part in the fleet");
         *self.udp.borrow_mut() = Some(bound.udp.clone());
         tokio::select! {
             () = self.read_datagrams(&bound.udp) => {}
@@ -305,7 +309,7 @@
             } else if let Some(frame) = self.decode(&buffer[..size], MAX_DATAGRAM_BYTES) {
                 let mut out = Vec::new();
                 self.membership.borrow_mut().handle_frame(self.now(), frame, &mut out);
-                self.carry_out(out, Some(from));
+                self.execute_actions(out, Some(from));
             }
             row += 1;
             if row >= DATAGRAMS_IN_A_ROW {
@@ -331,11 +335,11 @@
                     is_settled: membership.is_settled(now),
                     has_joined: membership.has_joined(),
                 };
-                let bound = Membership::settling_bound(self.set.period, live + down);
+                let bound = Membership::settling_bound(self.settings.period, live + down);
                 self.summary.send_replace((bound, summary));
                 membership.next_deadline().saturating_sub(now)
             };
-            self.carry_out(out, None);
+            self.execute_actions(out, None);
             if admin.has_successor() {
                 tracing::info!(target: "fleet", "a newer process of this gatekeeper serves: it is this member from now on");
                 return;
@@ -359,13 +363,15 @@
 
     fn resolve(&self, to: &Destination, back: Option<SocketAddr>) -> Option<SocketAddr> {
         match to {
-            Destination::Member(id, told) => Some(self.set.via.get(id).copied().unwrap_or(*told)),
+            Destination::Member(id, told) => {
+                Some(self.settings.address_overrides.get(id).copied().unwrap_or(*told))
+            }
             Destination::Address(address) => Some(*address),
             Destination::Sender => back,
         }
     }
 
-    fn carry_out(self: &Rc<Self>, out: Vec<Action>, back: Option<SocketAddr>) {
+    fn execute_actions(self: &Rc<Self>, out: Vec<Action>, back: Option<SocketAddr>) {
         let udp = self.udp.borrow().clone();
         for out in out {
             match out {
@@ -373,7 +379,7 @@
                 Action::ExchangeTables(to) => self.exchange_tables(&to, back),
                 Action::Datagram(to, frame) => {
                     let Some(address) = self.resolve(&to, back) else { continue };
-                    let bytes = codec::encode(&frame, &self.set.key);
+                    let bytes = codec::encode(&frame, &self.settings.key);
                     if udp.as_ref().is_none_or(|udp| udp.try_send_to(&bytes, address).is_err()) {
                         self.count(|d| d.unsent += 1);
                     }
@@ -388,7 +394,7 @@
         }
         let mut out = Vec::new();
         self.membership.borrow_mut().leave(self.now(), &mut out);
-        self.carry_out(out, None);
+        self.execute_actions(out, None);
         tracing::info!(target: "fleet", "has left the fleet");
     }
 }
--- a/src/fleet/runtime/events.rs
+++ b/src/fleet/runtime/events.rs
@@ -16,16 +16,16 @@
             }
             Event::DuplicateId(duplicate) => {
                 let (address, age_ms) = (duplicate.address, duplicate.uptime / 1000);
-                tracing::error!(target: "fleet", id = %self.set.id, %address, age_ms, "another process runs under this id");
+                tracing::error!(target: "fleet", id = %self.settings.id, %address, age_ms, "another process runs under this id");
             }
             Event::YieldedToDuplicate(duplicate) => {
                 tracing::error!(
-                    target: "fleet", id = %self.set.id, address = %duplicate.address,
+                    target: "fleet", id = %self.settings.id, address = %duplicate.address,
                     "it is the newer start: this one is silent in the fleet until the id is free"
                 );
             }
             Event::Resumed => {
-                tracing::warn!(target: "fleet", id = %self.set.id, "the id is free: speaks again")
+                tracing::warn!(target: "fleet", id = %self.settings.id, "the id is free: speaks again")
             }
             Event::Settled(live) => tracing::info!(target: "fleet", live, "settled"),
             Event::TableFull(id) => {
--- a/src/fleet/runtime/streams.rs
+++ b/src/fleet/runtime/streams.rs
@@ -25,7 +25,8 @@
     /// Serves an accepted stream: an exchange of tables, or a peer's messages. `place` counts it among the inbound streams.
     async fn serve_stream(self: Rc<Self>, mut stream: TcpStream, place: Rc<()>) {
         // A peer whose first frame is a message goes on sending messages, under a bound of its own.
-        let first = timeout(stream::WHOLE, stream::read(&mut stream, MAX_ENVELOPE_BYTES)).await;
+        let first =
+            timeout(framing::EXCHANGE_TIMEOUT, framing::read_frame(&mut stream, MAX_ENVELOPE_BYTES)).await;
         let Ok(Ok(Some(bytes))) = first else {
             if matches!(first, Ok(Ok(None))) {
                 self.count(|d| d.oversized += 1);
@@ -37,7 +38,7 @@
             return self.receive_messages(stream, bytes).await;
         }
         // An exchange that fails or takes too long is made up for by the next.
-        let _ = timeout(stream::WHOLE, self.answer_exchange(&mut stream, &bytes)).await;
+        let _ = timeout(framing::EXCHANGE_TIMEOUT, self.answer_exchange(&mut stream, &bytes)).await;
     }
 
     /// Merges a peer's table and answers with this member's own, as it was before.
@@ -49,13 +50,13 @@
         };
         self.merge_table(frame);
         match answer {
-            Some(answer) => stream::write(stream, &codec::encode(&answer, &self.set.key)).await,
+            Some(answer) => framing::write_frame(stream, &codec::encode(&answer, &self.settings.key)).await,
             None => Ok(()),
         }
     }
 
     pub(super) fn decode(&self, bytes: &[u8], most: usize) -> Option<Frame> {
-        match codec::decode(bytes, most, &self.set.key) {
+        match codec::decode(bytes, most, &self.settings.key) {
             Ok(frame) => Some(frame),
             Err(why) => {
                 self.count_drop(why);
@@ -76,7 +77,7 @@
     pub(super) fn merge_table(self: &Rc<Self>, frame: Frame) {
         let mut out = Vec::new();
         self.membership.borrow_mut().handle_table(self.now(), frame, &mut out);
-        self.carry_out(out, None);
+        self.execute_actions(out, None);
     }
 
     pub(super) fn exchange_tables(self: &Rc<Self>, to: &Destination, back: Option<SocketAddr>) {
@@ -90,8 +91,8 @@
             let whole = async {
                 let mut stream = TcpStream::connect(address).await?;
                 let own = member.membership.borrow_mut().table_frame(member.now());
-                stream::write(&mut stream, &codec::encode(&own, &member.set.key)).await?;
-                if let Some(frame) = stream::read(&mut stream, MAX_STREAM_BYTES)
+                framing::write_frame(&mut stream, &codec::encode(&own, &member.settings.key)).await?;
+                if let Some(frame) = framing::read_frame(&mut stream, MAX_STREAM_BYTES)
                     .await?
                     .and_then(|b| member.decode(&b, MAX_STREAM_BYTES))
                 {
@@ -99,7 +100,7 @@
                 }
                 Ok::<_, io::Error>(())
             };
-            let _ = timeout(stream::WHOLE, whole).await;
+            let _ = timeout(framing::EXCHANGE_TIMEOUT, whole).await;
             member.outbound_streams.set(member.outbound_streams.get() - 1);
         });
     }
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -15,7 +15,7 @@
 use crate::ops::{self, Finding, Path, decode};
 
 /// The default probe interval.
-const PERIOD: Micros = 1_000_000;
+const DEFAULT_PERIOD: Micros = 1_000_000;
 /// The lease is this many periods unless the section says otherwise.
 const DEFAULT_LEASE_PERIODS: u64 = 4;
 /// The shortest lease in periods.
@@ -25,9 +25,9 @@
 /// The longest probe interval.
 const MAX_PERIOD: Micros = 60_000_000;
 /// How long failed members are listed by default.
-const MEMORY: Micros = 3_600_000_000;
+const DEFAULT_RETENTION: Micros = 3_600_000_000;
 /// Minimum size of a key in bytes.
-const KEY_BYTES: u64 = 16;
+const MIN_KEY_BYTES: u64 = 16;
 
 /// The section. One file may serve all members: `serve --node ID` says which one a process is, and its address and zone are
 /// then taken from `members`.
@@ -76,7 +76,7 @@
 
 /// What holds for this process.
 #[derive(Clone, Debug)]
-pub struct Fleet {
+pub struct FleetSettings {
     /// Its id.
     pub id: MemberId,
     /// Where it listens and is reached.
@@ -86,19 +86,19 @@
     /// Whom to ask first.
     pub seeds: Vec<SocketAddr>,
     /// Members that are looked for by name.
-    pub known: Vec<(MemberId, SocketAddr)>,
+    pub configured_members: Vec<(MemberId, SocketAddr)>,
     /// Ways to members other than the addresses that they tell.
-    pub via: BTreeMap<MemberId, SocketAddr>,
+    pub address_overrides: BTreeMap<MemberId, SocketAddr>,
     /// The fleet's key.
     pub key: Key,
     /// From one probe to the next.
     pub period: Micros,
     /// For how long the dead are listed.
-    pub memory: Micros,
+    pub retention: Micros,
     /// Who keeps the fleet's log; empty: nobody.
     pub voters: Vec<MemberId>,
     /// A voter's folder.
-    pub state: Option<PathBuf>,
+    pub state_dir: Option<PathBuf>,
     /// For how long an owner of work goes on without a majority's word.
     pub lease: Micros,
     /// A folder that is whole is believed.
@@ -107,32 +107,32 @@
 
 /// The role of this process in a fleet.
 #[derive(Clone, Debug, Default)]
-pub enum Part {
+pub enum FleetRole {
     /// The file has no `fleet` section.
     #[default]
     None,
     /// The section lists several members, and neither it nor the command line names this one.
-    Nameless,
+    Unidentified,
     /// This member.
-    Member(Box<Fleet>),
+    Member(Box<FleetSettings>),
 }
 
 /// The section while the file is read.
 pub struct Draft<'a> {
     node: Option<&'a str>,
     section: Option<Section>,
-    part: Part,
+    role: FleetRole,
 }
 
 impl<'a> Draft<'a> {
     /// An empty draft; `node` is the id from the command line.
     pub fn new(node: Option<&'a str>) -> Draft<'a> {
-        Draft { node, section: None, part: Part::None }
+        Draft { node, section: None, role: FleetRole::None }
     }
 
     /// The settings, once the file is accepted.
-    pub fn part(self) -> Part {
-        self.part
+    pub fn role(self) -> FleetRole {
+        self.role
     }
 }
 
@@ -152,7 +152,7 @@
     fn check(&mut self) -> Vec<Finding> {
         let Some(section) = self.section.take() else { return Vec::new() };
         let mut check = Check { at: Path::of("fleet"), findings: Vec::new() };
-        self.part = check.part(section, self.node);
+        self.role = check.role(section, self.node);
         check.findings
     }
 }
@@ -163,7 +163,7 @@
 }
 
 impl Check {
-    fn wrong(&mut self, rule: &'static str, at: Path, text: impl Into<String>, remedy: &str) {
+    fn report_error(&mut self, rule: &'static str, at: Path, text: impl Into<String>, remedy: &str) {
         self.findings.push(Finding::error(rule, at, text, remedy));
     }
 
@@ -171,7 +171,7 @@
         let id = MemberId::new(text);
         if id.is_none() {
             let said = format!("'{text}' is no member's id");
-            self.wrong(
+            self.report_error(
                 "id",
                 at,
                 said,
@@ -189,22 +189,22 @@
     fn zone(&mut self, at: Path, zone: &str) {
         if zone.len() > MAX_NAME_BYTES || zone.chars().any(char::is_control) {
             let text = format!("a zone's name has {MAX_NAME_BYTES} bytes at most, and no control characters");
-            self.wrong("zone", at, text, "write a shorter name, as in \"zagreb\"");
+            self.report_error("zone", at, text, "write a shorter name, as in \"zagreb\"");
         }
     }
 
-    fn part(&mut self, section: Section, node: Option<&str>) -> Part {
+    fn role(&mut self, section: Section, node: Option<&str>) -> FleetRole {
         // A file for all members can be checked without being one of them.
-        let named = node.is_some() || section.id.is_some() || section.members.is_empty();
-        match self.fleet(section, node) {
-            Some(fleet) => Part::Member(Box::new(fleet)),
-            None if named => Part::None,
-            None => Part::Nameless,
+        let is_identified = node.is_some() || section.id.is_some() || section.members.is_empty();
+        match self.settings(section, node) {
+            Some(fleet) => FleetRole::Member(Box::new(fleet)),
+            None if is_identified => FleetRole::None,
+            None => FleetRole::Unidentified,
         }
     }
 
     /// The settings of this member; `None` if its id, its address or its key is missing or invalid.
-    fn fleet(&mut self, section: Section, node: Option<&str>) -> Option<Fleet> {
+    fn settings(&mut self, section: Section, node: Option<&str>) -> Option<FleetSettings> {
         let named = node.and_then(|node| section.members.get(node)).cloned();
         let id = self.own_id(&section, node);
         let address = named.as_ref().map(|member| member.address).or(section.address);
@@ -222,20 +222,20 @@
         let key = self.key(&section, address);
         let members: Vec<_> =
             section.members.iter().map(|(id, member)| (id.clone(), member.address)).collect();
-        let known = self.ids("members", members);
-        let via = self.ids("via", section.via.clone()).into_iter().collect();
-        Some(Fleet {
+        let configured_members = self.ids("members", members);
+        let address_overrides = self.ids("via", section.via.clone()).into_iter().collect();
+        Some(FleetSettings {
             id: id?,
             address: address?,
             zone,
             seeds: section.seeds,
-            known,
-            via,
+            configured_members,
+            address_overrides,
             key: key?,
             period,
-            memory: section.memory.map_or(MEMORY, |memory| memory.0),
+            retention: section.memory.map_or(DEFAULT_RETENTION, |memory| memory.0),
             voters,
-            state: section.state,
+            state_dir: section.state,
             lease,
             trust_disk: section.trust_disk,
         })
@@ -249,19 +249,29 @@
         }
         if section.members.is_empty() {
             let remedy = "add id, or start with `serve --node ID`";
-            self.wrong("id", at, "nothing says which member this is", remedy);
+            self.report_error("id", at, "nothing says which member this is", remedy);
         }
         None
     }
 
     fn report_missing_address(&mut self) {
         let remedy = "add address, or this member's line under members, as in \"127.0.0.1:7401\"";
-        self.wrong("address", self.at.key("address"), "nothing says where this member is reached", remedy);
+        self.report_error(
+            "address",
+            self.at.key("address"),
+            "nothing says where this member is reached",
+            remedy,
+        );
     }
 
     fn report_missing_state(&mut self) {
         let remedy = "add state, a folder of its own that survives restarts, as in \"state/fleet\"";
-        self.wrong("state", self.at.key("state"), "this member votes and has no folder for its log", remedy);
+        self.report_error(
+            "state",
+            self.at.key("state"),
+            "this member votes and has no folder for its log",
+            remedy,
+        );
     }
 
     fn check_zones(&mut self, own: &str, section: &Section) {
@@ -273,10 +283,10 @@
     }
 
     fn period(&mut self, section: &Section) -> Micros {
-        let period = section.period.map_or(PERIOD, |period| period.0);
+        let period = section.period.map_or(DEFAULT_PERIOD, |period| period.0);
         if !(MIN_PERIOD..=MAX_PERIOD).contains(&period) {
             let at = self.at.key("period");
-            self.wrong("period", at, "a period is 100 ms to 1 min", "write one between, as in \"1s\"");
+            self.report_error("period", at, "a period is 100 ms to 1 min", "write one between, as in \"1s\"");
         }
         period
     }
@@ -285,7 +295,12 @@
         let lease = section.lease.map_or(period * DEFAULT_LEASE_PERIODS, |lease| lease.0);
         if section.lease.is_some() && !(period * MIN_LEASE_PERIODS..=MAX_PERIOD).contains(&lease) {
             let at = self.at.key("lease");
-            self.wrong("lease", at, "a lease is 2 periods to 1 min", "write one between, as in \"4s\"");
+            self.report_error(
+                "lease",
+                at,
+                "a lease is 2 periods to 1 min",
+                "write one between, as in \"4s\"",
+            );
         }
         lease
     }
@@ -296,12 +311,17 @@
         for (n, voter) in section.voters.iter().enumerate() {
             voters.extend(self.id(at.index(n), voter));
             if section.voters[..n].contains(voter) {
-                self.wrong("voters", at.index(n), format!("'{voter}' stands twice"), "leave one of them out");
+                self.report_error(
+                    "voters",
+                    at.index(n),
+                    format!("'{voter}' stands twice"),
+                    "leave one of them out",
+                );
             }
         }
         match section.voters.len() {
             0 | 3 | 5 | 7 => {}
-            n => self.wrong("voters", at, format!("there are {n} voters"), "name 3, 5 or 7, or none"),
+            n => self.report_error("voters", at, format!("there are {n} voters"), "name 3, 5 or 7, or none"),
         }
         voters
     }
@@ -327,13 +347,18 @@
         };
         let wanted = "give a readable file of 16 bytes or more, the same for all members";
         match std::fs::metadata(path).and_then(|m| Ok((m.len(), std::fs::read(path)?))) {
-            Ok((size, _)) if !(KEY_BYTES..=4096).contains(&size) => {
-                self.wrong("key", at, format!("the key has {size} bytes, 16 to 4096 are wanted"), wanted);
+            Ok((size, _)) if !(MIN_KEY_BYTES..=4096).contains(&size) => {
+                self.report_error(
+                    "key",
+                    at,
+                    format!("the key has {size} bytes, 16 to 4096 are wanted"),
+                    wanted,
+                );
                 None
             }
             Ok((_, bytes)) => Some(Key::from_bytes(&bytes)),
             Err(e) => {
-                self.wrong("key", at, format!("the key cannot be read: {e}"), wanted);
+                self.report_error("key", at, format!("the key cannot be read: {e}"), wanted);
                 None
             }
         }
--- a/src/fleet/status.rs
+++ b/src/fleet/status.rs
@@ -69,7 +69,7 @@
 
 /// A change that the log holds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct CommittedChange {
     /// Its index; the token, where it grants.
     pub index: u64,
     /// The leader's term.
@@ -202,7 +202,7 @@
         if let Some(voter) = &self.voter {
             text += &render_voter(voter);
         }
-        text + &table(&self.members)
+        text + &members_table(&self.members)
     }
 
     fn render_duplicate(&self, duplicate: &DuplicateProcess) -> String {
@@ -230,7 +230,7 @@
 }
 
 /// Owners as a table for people.
-pub fn owners(owners: &[Owner]) -> String {
+pub fn owners_table(owners: &[Owner]) -> String {
     let mut rows = vec![["WORK", "OWNER", "TOKEN", "MINE"].map(str::to_string).to_vec()];
     rows.extend(owners.iter().map(|o| {
         let owner = o.owner.clone().unwrap_or_else(|| "-".into());
@@ -240,7 +240,7 @@
 }
 
 /// Lines of the log as a table for people.
-pub fn log(lines: &[Line]) -> String {
+pub fn changes_table(lines: &[CommittedChange]) -> String {
     let mut rows = vec![["INDEX", "TERM", "WORK", "AFTER", "OWNER"].map(str::to_string).to_vec()];
     rows.extend(lines.iter().map(|l| {
         let owner = l.owner.clone().unwrap_or_else(|| "freed".into());
@@ -261,7 +261,7 @@
 }
 
 /// The members as a table for people.
-pub fn table(members: &[Member]) -> String {
+pub fn members_table(members: &[Member]) -> String {
     let head = ["ID", "STATE", "ZONE", "ADDRESS", "INCARNATION", "VERSION", "HEARD", "CALLS", "DOES"];
     let mut rows: Vec<Vec<String>> = vec![head.map(str::to_string).to_vec()];
     for m in members {
--- a/src/fleet/test_effects.rs
+++ b/src/fleet/test_effects.rs
@@ -29,8 +29,8 @@
     }
 
     /// Has the node ask for the test's resources.
-    pub fn want_resources(&self, node: &ConsensusNode) {
-        self.resources.iter().for_each(|resource| node.want(resource.clone()));
+    pub fn request_resources(&self, node: &ConsensusNode) {
+        self.resources.iter().for_each(|resource| node.request_resource(resource.clone()));
     }
 
     /// Sends an effect for each of them that the node owns.
--- a/src/main.rs
+++ b/src/main.rs
@@ -8,7 +8,7 @@
 
 use cobaltspool::cli::{self, Door, Fronts, Task};
 use cobaltspool::commands::{self, Configs, read};
-use cobaltspool::fleet::settings::Part;
+use cobaltspool::fleet::settings::FleetRole;
 use cobaltspool::limits::{Ceilings, Plan};
 use cobaltspool::operate::{AdminService, admin as admin_endpoint};
 use cobaltspool::sections::{self, Ops};
@@ -50,7 +50,7 @@
             return Ok(print_report(commands::explain(&frontends, &ops, &call, format)));
         }
         Task::Fleet(query, address, format) => {
-            return Ok(fleet::ask::ask(query, address_of(&address)?, format));
+            return Ok(fleet::admin_query::run(query, address_of(&address)?, format));
         }
     }
     Ok(ExitCode::SUCCESS)
@@ -160,16 +160,16 @@
         // The fleet hears of the end once the fronts have come to theirs.
         let (ends, ended) = watch::channel(false);
         let member = match part {
-            (Part::Member(set), digest) => {
+            (FleetRole::Member(set), digest) => {
                 let part = fleet::join(*set, digest, &admin).await?;
                 Some(tokio::task::spawn_local(part.serve(told(ended))))
             }
-            (Part::Nameless, _) => {
+            (FleetRole::Unidentified, _) => {
                 return Err(
                     "the operators' file serves several members of a fleet; start with --node ID".into()
                 );
             }
-            (Part::None, _) => None,
+            (FleetRole::None, _) => None,
         };
         let platform = async {
             let Some(config) = config else { return Result::Ok(()) };
--- a/src/sections.rs
+++ b/src/sections.rs
@@ -6,7 +6,7 @@
 use schemars::JsonSchema;
 use serde::Deserialize;
 
-use crate::fleet::settings::{self, Part};
+use crate::fleet::settings::{self, FleetRole};
 use crate::limits::{self, Ceilings, Plan};
 use crate::log;
 use crate::ops::{self, Report};
@@ -31,7 +31,7 @@
     /// What routes and classes allow.
     pub plan: Plan,
     /// How it takes part in a fleet.
-    pub fleet: Part,
+    pub fleet: FleetRole,
     /// Digest of the file, for the fleet: members whose files differ are told apart.
     pub digest: u64,
     /// Warnings, if there are any.
@@ -54,7 +54,7 @@
         return Err(report);
     }
     let digest = cobaltspool_fleet::codec::file_digest(text.as_bytes());
-    Ok(Ops { log: log.settings(), plan: limits.plan(), fleet: fleet.part(), digest, report })
+    Ok(Ops { log: log.settings(), plan: limits.plan(), fleet: fleet.role(), digest, report })
 }
 
 /// A JSON Schema of the file, for editors.
--- a/tests/fleet_settings.rs
+++ b/tests/fleet_settings.rs
@@ -1,6 +1,6 @@
 //! Files with a fleet section: refused ones with the place and the rule, accepted ones with what holds.
 
-use cobaltspool::fleet::settings::Part;
+use cobaltspool::fleet::settings::FleetRole;
 use cobaltspool::limits::Ceilings;
 use cobaltspool::ops::Weight;
 use cobaltspool::sections;
@@ -71,10 +71,10 @@
 fn one_file_serves_all_members() {
     let text = std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/fleet.json5")).unwrap();
     let part = |node| sections::read_text("fleet.json5", &text, &Ceilings::default(), node).unwrap().fleet;
-    assert!(matches!(part(None), Part::Nameless));
-    let Part::Member(fleet) = part(Some("n2")) else { panic!("n2 is a member") };
+    assert!(matches!(part(None), FleetRole::Unidentified));
+    let FleetRole::Member(fleet) = part(Some("n2")) else { panic!("n2 is a member") };
     assert_eq!((fleet.id.as_str(), fleet.address.port(), fleet.zone.as_str()), ("n2", 7402, "split"));
-    assert_eq!((fleet.known.len(), fleet.seeds.len(), fleet.period), (3, 2, 1_000_000));
+    assert_eq!((fleet.configured_members.len(), fleet.seeds.len(), fleet.period), (3, 2, 1_000_000));
 }
 
 #[test]
@@ -82,12 +82,12 @@
     let text = "{id: 'n1', address: '127.0.0.1:1', voters: ['n1', 'n2', 'n3'], period: '500ms'}";
     let ops = read(text, Some("n9")).unwrap();
     assert!(ops.report.findings.is_empty(), "one that does not vote needs none");
-    let Part::Member(fleet) = ops.fleet else { panic!("it is a member") };
+    let FleetRole::Member(fleet) = ops.fleet else { panic!("it is a member") };
     assert_eq!((fleet.id.as_str(), fleet.voters.len(), fleet.lease), ("n9", 3, 2_000_000));
     let report = read(text, None).map(|_| ()).expect_err("it votes");
     assert_eq!((report.findings[0].rule, &*report.findings[0].places[0].path), ("state", "fleet.state"));
     assert!(matches!(
         sections::read_text("none", "{}", &Ceilings::default(), None).unwrap().fleet,
-        Part::None
+        FleetRole::None
     ));
 }
