--- a/src/fleet/admin_query.rs
+++ b/src/fleet/admin_query.rs
@@ -1,4 +1,4 @@
-//! The command line's questions to a gatekeeper's admin endpoint.
+//! Queries of the command line to the admin endpoint of a gatekeeper.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -8,48 +8,48 @@
 use super::status::{self, CommittedChange, Status, members_table};
 use crate::cli::{Format, Question};
 
-/// The endpoint answers within a second, or there is nobody to ask.
+/// Timeout for connecting and for each read and write. A working endpoint answers within a second.
 const TIMEOUT: Duration = Duration::from_secs(3);
-/// Exit status: there is nobody to ask.
+/// Exit status if no admin endpoint answers.
 const EXIT_NO_ANSWER: u8 = 69;
-/// The longest answer that is read.
-const MAX_ANSWER_BYTES: u64 = 4 * 1024 * 1024;
+/// Maximum size of an answer; longer ones are truncated.
+const MAX_RESPONSE_BYTES: u64 = 4 * 1024 * 1024;
 
-/// A gatekeeper's admin endpoint cannot be asked.
+/// A query to an admin endpoint failed.
 #[derive(Debug, thiserror::Error)]
-enum AskError {
-    #[error("nobody answers at {address}: {source}")]
+enum QueryError {
+    #[error("no answer from {address}: {source}")]
     NoAnswer { address: SocketAddr, source: std::io::Error },
-    #[error("what answers at {0} is no door")]
+    #[error("the server at {0} is not an admin endpoint")]
     NotAnEndpoint(SocketAddr),
 }
 
-/// Asks over HTTP and returns the status and the body.
-fn get(door: SocketAddr, path: &str) -> Result<(u16, String), AskError> {
-    let named = |source| AskError::NoAnswer { address: door, source };
-    let mut stream = TcpStream::connect_timeout(&door, TIMEOUT).map_err(named)?;
-    stream.set_read_timeout(Some(TIMEOUT)).map_err(named)?;
-    stream.set_write_timeout(Some(TIMEOUT)).map_err(named)?;
-    let call = format!("GET {path} HTTP/1.1\r\nHost: {door}\r\nConnection: close\r\n\r\n");
-    stream.write_all(call.as_bytes()).map_err(named)?;
+/// Sends a GET request and returns the HTTP status and the body.
+fn get(address: SocketAddr, path: &str) -> Result<(u16, String), QueryError> {
+    let no_answer = |source| QueryError::NoAnswer { address, source };
+    let mut stream = TcpStream::connect_timeout(&address, TIMEOUT).map_err(no_answer)?;
+    stream.set_read_timeout(Some(TIMEOUT)).map_err(no_answer)?;
+    stream.set_write_timeout(Some(TIMEOUT)).map_err(no_answer)?;
+    let request = format!("GET {path} HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n");
+    stream.write_all(request.as_bytes()).map_err(no_answer)?;
     let mut bytes = Vec::new();
-    stream.take(MAX_ANSWER_BYTES).read_to_end(&mut bytes).map_err(named)?;
+    stream.take(MAX_RESPONSE_BYTES).read_to_end(&mut bytes).map_err(no_answer)?;
     let mut headers = [httparse::EMPTY_HEADER; 16];
-    let mut answer = httparse::Response::new(&mut headers);
-    match answer.parse(&bytes) {
+    let mut response = httparse::Response::new(&mut headers);
+    match response.parse(&bytes) {
         Ok(httparse::Status::Complete(head)) => {
             let body = String::from_utf8_lossy(&bytes[head..]).into_owned();
-            Ok((answer.code.unwrap_or_default(), body))
+            Ok((response.code.unwrap_or_default(), body))
         }
-        _ => Err(AskError::NotAnEndpoint(door)),
+        _ => Err(QueryError::NotAnEndpoint(address)),
     }
 }
 
-/// Asks, and prints the answer.
-pub fn run(question: Question, door: SocketAddr, format: Format) -> ExitCode {
+/// Sends a query and prints the answer.
+pub fn run(question: Question, address: SocketAddr, format: Format) -> ExitCode {
     let path = if question == Question::Log { "/control/fleet/log" } else { "/control/fleet" };
-    let (status, body) = match get(door, path) {
-        Ok(answer) => answer,
+    let (status, body) = match get(address, path) {
+        Ok(response) => response,
         Err(e) => {
             eprintln!("cobaltspool: {e}");
             return ExitCode::from(EXIT_NO_ANSWER);
@@ -61,26 +61,26 @@
     }
     if question == Question::Log {
         return match serde_json::from_str::<Vec<CommittedChange>>(&body) {
-            Ok(lines) if format == Format::Text => print(&status::changes_table(&lines)),
+            Ok(changes) if format == Format::Text => print(&status::changes_table(&changes)),
             Ok(_) => print(&(body + "\n")),
-            Err(e) => unreadable(&e),
+            Err(e) => report_unreadable(&e),
         };
     }
-    let object: Status = match serde_json::from_str(&body) {
-        Ok(object) => object,
-        Err(e) => return unreadable(&e),
+    let fleet: Status = match serde_json::from_str(&body) {
+        Ok(fleet) => fleet,
+        Err(e) => return report_unreadable(&e),
     };
     match (question, format) {
         (Question::Status, Format::Json) => println!("{body}"),
-        (Question::Status, Format::Text) => print!("{}", object.render()),
+        (Question::Status, Format::Text) => print!("{}", fleet.render()),
         (Question::Members, Format::Json) => {
-            println!("{}", serde_json::to_string(&object.members).unwrap_or_default());
+            println!("{}", serde_json::to_string(&fleet.members).unwrap_or_default());
         }
-        (Question::Members, Format::Text) => print!("{}", members_table(&object.members)),
+        (Question::Members, Format::Text) => print!("{}", members_table(&fleet.members)),
         (Question::Owners, Format::Json) => {
-            println!("{}", serde_json::to_string(&object.owners).unwrap_or_default());
+            println!("{}", serde_json::to_string(&fleet.owners).unwrap_or_default());
         }
-        (Question::Owners | Question::Log, _) => print!("{}", status::owners_table(&object.owners)),
+        (Question::Owners | Question::Log, _) => print!("{}", status::owners_table(&fleet.owners)),
     }
     ExitCode::SUCCESS
 }
@@ -90,7 +90,7 @@
     ExitCode::SUCCESS
 }
 
-fn unreadable(e: &serde_json::Error) -> ExitCode {
-    eprintln!("cobaltspool: the answer does not read ({e}): is the gatekeeper of another version?");
+fn report_unreadable(e: &serde_json::Error) -> ExitCode {
+    eprintln!("cobaltspool: cannot parse the answer ({e}): the gatekeeper may run another version");
     ExitCode::FAILURE
 }
--- a/src/fleet/consensus_node.rs
+++ b/src/fleet/consensus_node.rs
@@ -1,8 +1,9 @@
-//! This process's part in the fleet's consensus: as a voter, as the leader, and as a member that would own resources. It feeds the
-//! state machines without I/O (`cobaltspool_fleet::{quorum, lease}`) and carries out what they ask for; it decides nothing.
+//! This process in the fleet's consensus: as a voter, as the leader, and as a member that requests resources. It
+//! passes events to the state machines without I/O (`cobaltspool_fleet::{quorum, lease}`) and executes their actions;
+//! it makes no protocol decisions.
 //!
-//! [`ConsensusNode`] owns the voter, the write-ahead log's writer, the replicated state and the leases; `runtime` owns its timer
-//! and its connections. [`report`] makes of it what operators read.
+//! [`ConsensusNode`] owns the voter, the writer of its write-ahead log, the replicated state and the leases;
+//! `runtime` owns the timer and the connections. [`report`] builds the report for operators.
 
 mod report;
 
@@ -25,31 +26,32 @@
 use super::wal_writer::{self, StoreEvent, WalWriter};
 use crate::Micros;
 
-/// Maximum number of lease requests that wait for the confirmation of leadership; further ones are answered as if another led.
+/// Maximum number of lease requests that wait for the confirmation of leadership; further ones are answered with
+/// `NotLeader`.
 const MAX_PENDING_REQUESTS: usize = 1_024;
-/// Maximum number of committed changes that are kept for operators.
+/// Maximum number of committed changes in the report for operators.
 const MAX_RECENT_CHANGES: usize = 256;
-/// A member that was not answered for this part of a lease asks the voters in turn.
+/// A member without an answer for the lease divided by this number asks the voters in turn.
 const ANSWER_TIMEOUT_DIVISOR: u64 = 2;
 
-/// What this process is among the voters.
+/// Configuration of this process as a member of the consensus.
 #[derive(Clone, Debug)]
-pub struct VoterConfig {
-    /// This process.
+pub struct ConsensusConfig {
+    /// Id and nonce of this process.
     pub process: ProcessId,
     /// All voters.
     pub voters: Vec<MemberId>,
-    /// Where a voter keeps its log.
-    pub folder: Option<PathBuf>,
+    /// Folder in which a voter stores its log.
+    pub state_dir: Option<PathBuf>,
     /// The election timeout.
     pub election_timeout: Micros,
-    /// How long an owner may go on without the leader's answer.
+    /// How long an owner may continue without an answer of the leader.
     pub lease: Micros,
-    /// A folder that is intact is believed.
+    /// Whether an intact folder is trusted at start.
     pub trust_disk: bool,
 }
 
-impl VoterConfig {
+impl ConsensusConfig {
     fn is_voter(&self) -> bool {
         self.voters.contains(&self.process.member)
     }
@@ -58,17 +60,17 @@
 struct State {
     voter: Option<Voter>,
     wal_writer: Option<WalWriter>,
-    /// Why it does not vote, where it cannot.
+    /// Why this voter cannot vote, or has stopped voting.
     fault: Option<String>,
     replica: Replica<LeaseTable>,
-    /// While it leads.
+    /// Present while this voter leads.
     lease_manager: Option<LeaseManager>,
     /// Requests that wait for the confirmation of leadership, by ticket.
     pending_requests: BTreeMap<u64, LeaseRequest>,
     last_ticket: u64,
     last_seq: u64,
     lease_holder: LeaseHolder,
-    /// Which voter is asked next, where the leader is not known.
+    /// Counter that selects the next voter to ask while the leader is unknown.
     next_voter: usize,
     leader: Option<MemberId>,
     last_answer_at: Option<Micros>,
@@ -76,26 +78,26 @@
 }
 
 impl State {
-    /// Requests a write; where the disk does not take it, the voter takes part no more.
+    /// Requests a write; if it is rejected, the voter no longer takes part.
     fn write(&mut self, number: u64, records: Vec<LogRecord>, actions: &mut Vec<Action>) {
-        let is_taken = self.wal_writer.as_ref().is_some_and(|wal| wal.write(number, records));
-        if !is_taken && let Some(voter) = &mut self.voter {
-            let fault = "writes pile up at the disk, or it has failed; start anew";
+        let is_accepted = self.wal_writer.as_ref().is_some_and(|wal| wal.write(number, records));
+        if !is_accepted && let Some(voter) = &mut self.voter {
+            let fault = "too many writes are pending, or the disk has failed; start anew";
             self.fault.get_or_insert(fault.to_string());
             voter.handle_disk_failure(actions);
         }
     }
 }
 
-/// See the module.
+/// This process in the consensus; see the [module](self).
 pub struct ConsensusNode {
-    config: VoterConfig,
+    config: ConsensusConfig,
     state: RefCell<State>,
 }
 
 impl ConsensusNode {
-    /// A member that has just started. It votes once [`start_voting`](Self::start_voting) was called.
-    pub fn new(now: Micros, config: VoterConfig) -> ConsensusNode {
+    /// Creates a node that does not vote yet; see [`start_voting`](Self::start_voting).
+    pub fn new(now: Micros, config: ConsensusConfig) -> ConsensusNode {
         let state = State {
             voter: None,
             wal_writer: None,
@@ -114,8 +116,9 @@
         ConsensusNode { config, state: RefCell::new(state) }
     }
 
-    /// Opens a voter's folder and starts to vote. One whose folder cannot be used, for now or at all, takes part without a vote
-    /// and reports the fault; it may try again. `nonce` is of this try.
+    /// Opens the voter's folder and starts to vote. If the folder cannot be used, temporarily or permanently, this
+    /// process takes part without a vote and reports the fault; the caller may try again. `nonce` must be new for
+    /// each attempt.
     pub fn start_voting(
         &self,
         now: Micros,
@@ -124,7 +127,7 @@
         outgoing: &mut Vec<PeerMessage>,
     ) {
         let state = &mut *self.state.borrow_mut();
-        let folder = self.config.folder.as_ref().filter(|_| self.config.is_voter());
+        let folder = self.config.state_dir.as_ref().filter(|_| self.config.is_voter());
         let Some(folder) = folder.filter(|_| state.voter.is_none()) else { return };
         let opened = wal_writer::open(folder).and_then(|opened| opened.start(store_events));
         let (wal_writer, recovered) = match opened {
@@ -132,7 +135,7 @@
             Err(error) => {
                 let fault = error.to_string();
                 if state.fault.as_ref() != Some(&fault) {
-                    tracing::error!(target: "fleet", fault, "this voter does not vote; tried again");
+                    tracing::error!(target: "fleet", fault, "this voter does not vote; retrying");
                 }
                 state.fault = Some(fault);
                 return;
@@ -153,12 +156,13 @@
         self.execute_actions(state, now, actions, outgoing);
     }
 
-    /// Whether it ought to vote and does not.
+    /// Whether this process is a voter that has not started.
     pub fn needs_voter_start(&self) -> bool {
         self.config.is_voter() && self.state.borrow().voter.is_none()
     }
 
-    /// Stops voting and releases all that it owns: another process of this member takes over. Returns what is to be sent.
+    /// Stops voting and releases all owned resources, because another process of this member takes over. Returns the
+    /// messages to send.
     pub fn hand_over(&self, now: Micros) -> Vec<PeerMessage> {
         let outgoing = self.release_all(now);
         let state = &mut *self.state.borrow_mut();
@@ -170,12 +174,12 @@
         outgoing
     }
 
-    /// Asks for a resource from now on.
+    /// Adds a resource to those that this process requests.
     pub fn request_resource(&self, resource: ResourceName) {
         self.state.borrow_mut().lease_holder.add_wanted(resource);
     }
 
-    /// Releases all that it owns and returns what is to be sent.
+    /// Releases all owned resources. Returns the messages to send.
     pub fn release_all(&self, now: Micros) -> Vec<PeerMessage> {
         let mut state = self.state.borrow_mut();
         log_lease_events(state.lease_holder.release_all(now));
@@ -184,13 +188,13 @@
         outgoing
     }
 
-    /// The token by which it may act for a resource now.
+    /// Returns the fencing token under which this process owns a resource now.
     #[cfg(feature = "faults")]
     pub fn token(&self, now: Micros, resource: &ResourceName) -> Option<u64> {
         self.state.borrow().lease_holder.token(now, resource)
     }
 
-    /// Runs the timers that are due and returns when it wants the next tick.
+    /// Runs the timers that are due and returns the next deadline.
     pub fn tick(&self, now: Micros, outgoing: &mut Vec<PeerMessage>) -> Micros {
         let state = &mut *self.state.borrow_mut();
         let mut actions = Vec::new();
@@ -206,7 +210,7 @@
         deadline
     }
 
-    /// Handles a report of the write-ahead log's writer.
+    /// Handles a report of the log writer.
     pub fn handle_store_event(&self, now: Micros, event: StoreEvent, outgoing: &mut Vec<PeerMessage>) {
         let state = &mut *self.state.borrow_mut();
         let Some(voter) = &mut state.voter else { return };
@@ -223,7 +227,7 @@
         self.execute_actions(state, now, actions, outgoing);
     }
 
-    /// Handles a message of another member.
+    /// Handles a message from another member.
     pub fn handle_message(&self, now: Micros, message: PeerMessage, outgoing: &mut Vec<PeerMessage>) {
         if message.to != self.config.process.member {
             return;
@@ -248,7 +252,7 @@
                 state.leader = leader;
                 state.lease_holder.retry_soon(now);
             }
-            // One that speaks for another.
+            // The sender does not match the member named in the payload.
             Payload::Consensus(_) | Payload::LeaseRequest(_) => {}
         }
     }
@@ -257,16 +261,16 @@
         PeerMessage { from: self.config.process.member.clone(), to, payload }
     }
 
-    /// Sends the lease request that is due, to the leader or to the voters in turn.
+    /// Sends the lease request if one is due, to the leader or, if that is unknown, to the voters in turn.
     fn request_leases(&self, state: &mut State, now: Micros, outgoing: &mut Vec<PeerMessage>) {
         let Some(request) = state.lease_holder.next_request(now) else { return };
         let timeout = self.config.lease / ANSWER_TIMEOUT_DIVISOR;
         let is_silent = state.last_answer_at.is_none_or(|at| now.saturating_sub(at) > timeout);
         let leader = state.voter.as_ref().and_then(|voter| voter.leader().cloned());
-        let known = leader.or(state.leader.clone().filter(|_| !is_silent));
+        let known_leader = leader.or(state.leader.clone().filter(|_| !is_silent));
         state.next_voter += 1;
         let voters = &self.config.voters;
-        let to = known.unwrap_or_else(|| voters[state.next_voter % voters.len()].clone());
+        let to = known_leader.unwrap_or_else(|| voters[state.next_voter % voters.len()].clone());
         if to == self.config.process.member {
             self.handle_lease_request(state, now, request, outgoing);
         } else {
@@ -274,7 +278,7 @@
         }
     }
 
-    /// Proposes the changes that the leader's lease manager wants, a bounded number at a time.
+    /// Proposes the pending changes of the lease manager if this voter leads, a bounded number at a time.
     fn propose_changes(&self, state: &mut State, now: Micros, outgoing: &mut Vec<PeerMessage>) {
         let (Some(voter), Some(manager)) = (&mut state.voter, &mut state.lease_manager) else { return };
         let changes = manager.next_changes(now, &state.replica.machine);
@@ -315,7 +319,7 @@
         self.execute_actions(state, now, actions, outgoing);
     }
 
-    /// Answers a request as one that does not lead.
+    /// Answers a request with `NotLeader`.
     fn decline_request(
         &self,
         state: &mut State,
@@ -327,13 +331,13 @@
             return state.lease_holder.retry_soon(now);
         }
         let leader = state.voter.as_ref().and_then(|voter| voter.leader().cloned());
-        // One that leads and does not know yet what is committed sends nobody to itself.
+        // A leader that cannot serve the request yet must not redirect the member to itself.
         let leader = leader.filter(|leader| *leader != self.config.process.member);
         let payload = Payload::NotLeader { number: request.number, leader };
         outgoing.push(self.message(request.requester.member, payload));
     }
 
-    /// Answers a request after leadership was confirmed.
+    /// Answers a request after the confirmation of leadership.
     fn answer_request(&self, state: &mut State, now: Micros, ticket: u64, outgoing: &mut Vec<PeerMessage>) {
         let Some(request) = state.pending_requests.remove(&ticket) else { return };
         let Some(manager) = &mut state.lease_manager else { return };
@@ -347,7 +351,7 @@
         }
     }
 
-    /// Carries out the voter's actions, and those that come of them before the next.
+    /// Executes the voter's actions in order. Actions that result from one are executed before the next.
     fn execute_actions(
         &self,
         state: &mut State,
@@ -357,8 +361,8 @@
     ) {
         let mut actions = VecDeque::from(actions);
         while let Some(action) = actions.pop_front() {
-            let further = self.execute_action(state, now, action, outgoing);
-            for action in further.into_iter().rev() {
+            let follow_up = self.execute_action(state, now, action, outgoing);
+            for action in follow_up.into_iter().rev() {
                 actions.push_front(action);
             }
         }
@@ -371,9 +375,9 @@
         action: Action,
         outgoing: &mut Vec<PeerMessage>,
     ) -> Vec<Action> {
-        let mut further = Vec::new();
+        let mut follow_up = Vec::new();
         match action {
-            Action::Write { number, records } => state.write(number, records, &mut further),
+            Action::Write { number, records } => state.write(number, records, &mut follow_up),
             Action::Send(message) => {
                 let to = message.to.clone();
                 outgoing.push(self.message(to, Payload::Consensus(Box::new(message))));
@@ -396,12 +400,12 @@
             }
             Action::Compact => {
                 if let Some(voter) = &mut state.voter {
-                    voter.compact(state.replica.applied, state.replica.state(), &mut further);
+                    voter.compact(state.replica.applied, state.replica.state(), &mut follow_up);
                 }
             }
             Action::Notify(event) => self.handle_event(state, now, event),
         }
-        further
+        follow_up
     }
 
     fn handle_event(&self, state: &mut State, now: Micros, event: Event) {
@@ -412,7 +416,7 @@
             }
             Event::SteppedDown => {
                 state.lease_manager = None;
-                tracing::info!(target: "fleet", "leads no more");
+                tracing::info!(target: "fleet", "no longer leads the fleet's log");
             }
             Event::FollowsLeader { leader, term } => {
                 tracing::info!(target: "fleet", %leader, term, "follows");
@@ -421,24 +425,24 @@
             Event::StateLost { reported_by, reported, recovered } => tracing::error!(
                 target: "fleet", by = %reported_by, term = reported.term, index = reported.index, own_term = recovered.term,
                 own_index = recovered.index,
-                "this voter's disk has forgotten what it had promised: amnesiac until it has caught up"
+                "this voter's disk has lost state that the voter had acknowledged: amnesiac until it has caught up"
             ),
             Event::DuplicateId(incarnation) => {
                 tracing::error!(
                     target: "fleet", start = incarnation.number,
-                    "another process votes under this id, or did a moment ago"
+                    "another process votes under this id, or did so recently"
                 );
             }
         }
     }
 
-    /// The changes that were committed of late, the oldest first.
+    /// Returns the most recently committed changes, the oldest first.
     pub fn recent_changes(&self) -> Vec<status::CommittedChange> {
         self.state.borrow().recent_changes.iter().cloned().collect()
     }
 }
 
-/// Logs what changed for this member.
+/// Logs changes in what this member owns.
 fn log_lease_events(events: Vec<LeaseEvent>) {
     for event in events {
         match event {
@@ -446,7 +450,7 @@
                 tracing::info!(target: "fleet", work = %owned.resource, token = owned.token, "owns");
             }
             LeaseEvent::Lost(owned) => {
-                tracing::info!(target: "fleet", work = %owned.resource, token = owned.token, "owns no more");
+                tracing::info!(target: "fleet", work = %owned.resource, token = owned.token, "no longer owns");
             }
         }
     }
@@ -461,8 +465,8 @@
         recent.push_back(status::CommittedChange {
             index,
             term: entry.term,
-            work: change.resource.to_string(),
-            after: change.expected_token,
+            resource: change.resource.to_string(),
+            expected_token: change.expected_token,
             owner: change.new_owner.map(|owner| owner.member.to_string()),
         });
     }
--- a/src/fleet/framing.rs
+++ b/src/fleet/framing.rs
@@ -1,5 +1,5 @@
-//! Streams: two members exchange their tables, a frame each way with its length before it. Bounded in bytes and in time; a
-//! peer that accepts and never reads, or sends a byte at a time, costs a place until its time is up.
+//! Length-prefixed frames on streams. Their size is bounded here, the time for them by the callers: a peer that
+//! accepts a connection and never reads, or sends one byte at a time, occupies a stream only until the timeout.
 
 use std::io;
 use std::time::Duration;
@@ -7,17 +7,18 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// A whole exchange takes no longer.
+/// Timeout for a complete exchange of tables, and for the first frame of an accepted stream.
 pub(super) const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Writes one frame.
+/// Writes one frame, preceded by its length.
 pub(super) async fn write_frame(stream: &mut TcpStream, frame: &[u8]) -> io::Result<()> {
     let length = u32::try_from(frame.len()).map_err(|_| io::ErrorKind::InvalidInput)?;
     stream.write_all(&length.to_be_bytes()).await?;
     stream.write_all(frame).await
 }
 
-/// Reads one frame; `None`: it says that it is longer than may be. Room is taken as bytes come, not as they are claimed.
+/// Reads one frame; `None` if its announced length is above `max_bytes`. Memory is allocated as bytes arrive, not for
+/// the announced length.
 pub(super) async fn read_frame(stream: &mut TcpStream, max_bytes: usize) -> io::Result<Option<Vec<u8>>> {
     let length = stream.read_u32().await? as usize;
     if length > max_bytes {
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,8 +1,11 @@
-//! The fleet: how gatekeepers see each other and own resources. The decisions are `cobaltspool-fleet`'s, a crate without I/O; here
-//! are the section of the operators' file (`settings`), what operators read (`status`), the sockets (`runtime`, `stream`,
-//! `peer_connections`), a voter's folder (`wal_writer`), what joins them to the consensus and the leases
-//! (`consensus_node`), and the command line's questions to the admin endpoint (`ask`). Off unless the file has a `fleet`
-//! section: then there is no socket, task or table. The core knows none of it; it is told a number of gatekeepers.
+//! The fleet: membership of gatekeepers, and ownership of resources among them. The protocol logic is in the crate
+//! `cobaltspool-fleet`, which does no I/O. This module contains the section of the operators' file (`settings`), the
+//! status shown to operators (`status`), the sockets (`runtime`, `framing`, `peer_connections`), the folder of a
+//! voter (`wal_writer`), the link between these and the consensus and leases (`consensus_node`), and the queries of
+//! the command line to the admin endpoint (`admin_query`).
+//!
+//! Without a `fleet` section in the file there is no socket, task or table. The core does not depend on this module; it
+//! receives only the number of gatekeepers.
 
 pub mod admin_query;
 mod consensus_node;
--- a/src/fleet/peer_connections.rs
+++ b/src/fleet/peer_connections.rs
@@ -1,8 +1,9 @@
-//! Connections to other members for [`PeerMessage`](cobaltspool_fleet::envelope::PeerMessage)s: one outbound connection a peer, kept
-//! while it works. Nobody waits for a peer: what does not fit into its queue is dropped, and what is dropped is sent again by
-//! those who need it.
+//! Connections to other members for [`PeerMessage`](cobaltspool_fleet::envelope::PeerMessage)s: one outbound
+//! connection per peer, reused until it fails. Sending never blocks: a message that does not fit into the peer's
+//! queue is dropped, and the protocol that needs it sends it again.
 //!
-//! [`PeerConnections`] owns a task a peer; the task ends, and its connection with it, when it had nothing to send for a while.
+//! [`PeerConnections`] owns one task per peer. The task and its connection end after [`IDLE_TIMEOUT`] without a
+//! message.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -18,29 +19,30 @@
 
 use super::framing;
 
-/// Maximum number of messages that wait for one peer; further ones are dropped.
+/// Maximum number of queued messages per peer; further ones are dropped.
 const MAX_QUEUED: usize = 64;
-/// Maximum number of peers at a time; further ones get nothing.
+/// Maximum number of peers at a time; messages to further ones are dropped.
 const MAX_PEERS: usize = 256;
-/// A connection is made, and a message written, within this; or the connection is closed and its queue dropped.
+/// Time within which the connection must be open and a message written. Otherwise the connection is closed and the
+/// queued messages are dropped.
 const SEND_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Between attempts to connect.
+/// Delay after a failed attempt to connect or to write.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
-/// A connection that had nothing to send for so long is closed.
+/// A connection is closed after this time without a message to send.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A sealed message, and where its receiver is reached.
+/// A sealed message and the address of its receiver.
 struct Outgoing {
     address: SocketAddr,
     frame: Vec<u8>,
 }
 
-/// The queues of all peers' tasks.
+/// The queue of each peer's task.
 #[derive(Default)]
 pub(super) struct PeerConnections(RefCell<HashMap<MemberId, mpsc::Sender<Outgoing>>>);
 
 impl PeerConnections {
-    /// Queues a sealed message; false: it was dropped.
+    /// Queues a sealed message. Returns false if it was dropped.
     pub fn send(self: &Rc<Self>, to: &MemberId, address: SocketAddr, frame: Vec<u8>) -> bool {
         let mut queues = self.0.borrow_mut();
         if !queues.contains_key(to) {
--- a/src/fleet/status.rs
+++ b/src/fleet/status.rs
@@ -1,4 +1,5 @@
-//! What staff read of the fleet: the object of `GET /control/fleet`, and its tables. Its names are read by other tools.
+//! The fleet's status for operators: the object that `GET /control/fleet` returns, and tables of its parts. Other
+//! tools read the object, so its serialized names must not change.
 
 use std::net::SocketAddr;
 
@@ -6,159 +7,176 @@
 use cobaltspool_fleet::membership::{MemberReport, Membership};
 use serde::{Deserialize, Serialize};
 
-/// The object. A part that is not configured or not built is null or empty.
+/// The fleet as one member sees it. Parts that are not configured or not implemented are null or empty.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// Who tells it.
+    /// Id of the member that reports.
     pub id: String,
-    /// No suspect, and no change for three periods.
-    pub settled: bool,
-    /// A majority of the voters is at work, as far as this one can tell; null: there are no voters.
-    pub majority: Option<bool>,
-    /// All members, this one among them.
+    /// Whether there is no suspect and there was no change for three periods.
+    #[serde(rename = "settled")]
+    pub is_settled: bool,
+    /// Whether a majority of the voters works, as far as this member can tell; null if there are no voters.
+    #[serde(rename = "majority")]
+    pub has_majority: Option<bool>,
+    /// All members, including this one.
     pub members: Vec<Member>,
-    /// This one as a voter, if it is one.
+    /// This member as a voter, if it is one.
     pub voter: Option<Voter>,
-    /// Whose each item of work is; one that does not vote knows its own only.
+    /// The owner of each resource; a member that does not vote lists only its own.
     pub owners: Vec<Owner>,
-    /// Who is out; nothing counts them yet.
+    /// Reserved for what is out of service; always empty.
     pub out: Vec<serde_json::Value>,
-    /// A release; there is none yet.
+    /// Reserved for a release; always null.
     pub release: Option<serde_json::Value>,
-    /// This process has yielded to a newer start under its id, and is silent in the fleet.
+    /// Whether this process is in standby because a newer start uses its id.
     #[serde(rename = "stands_by")]
     pub is_standby: bool,
-    /// The other process under its id, where one is known.
+    /// The other process under its id, if one is known.
     #[serde(rename = "twin")]
     pub duplicate: Option<DuplicateProcess>,
-    /// Frames that were dropped, by cause.
+    /// Dropped frames, by cause.
     pub dropped: Dropped,
-    /// The settling bound at this size, in milliseconds.
-    pub bound_ms: u64,
+    /// Settling bound for this number of members, in milliseconds.
+    #[serde(rename = "bound_ms")]
+    pub settling_bound_ms: u64,
 }
 
 /// A voter.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Voter {
-    /// leader, candidate or follower.
+    /// `leader`, `candidate` or `follower`.
     pub role: String,
-    /// Its term.
+    /// Its current term.
     pub term: u64,
-    /// Who leads, where it knows.
+    /// Id of the leader, if known.
     pub leader: Option<String>,
-    /// voting, amnesiac or read-only.
-    pub standing: String,
-    /// Up to where the log is committed, as far as it knows.
-    pub committed: u64,
-    /// Why it does not vote, and what to do.
-    pub trouble: Option<String>,
+    /// `voting`, `amnesiac` or `read-only`.
+    #[serde(rename = "standing")]
+    pub status: String,
+    /// Index up to which it knows the log to be committed.
+    #[serde(rename = "committed")]
+    pub commit_index: u64,
+    /// Why it does not vote, and the remedy.
+    #[serde(rename = "trouble")]
+    pub fault: Option<String>,
 }
 
-/// An item of work.
+/// A resource and its owner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Owner {
-    /// The item.
-    pub work: String,
-    /// Whose it is; null: nobody's now.
+    /// Name of the resource.
+    #[serde(rename = "work")]
+    pub resource: String,
+    /// Id of the owner; null if there is none.
     pub owner: Option<String>,
-    /// The fencing token.
+    /// Fencing token of the last assignment.
     pub token: u64,
-    /// The one that tells owns it, and its lease runs.
-    pub mine: bool,
+    /// Whether the reporting process owns the resource under a valid lease.
+    #[serde(rename = "mine")]
+    pub is_own: bool,
 }
 
-/// A change that the log holds.
+/// A committed change of ownership.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CommittedChange {
-    /// Its index; the token, where it grants.
+    /// Index of its log entry; also the token of the new owner, if there is one.
     pub index: u64,
-    /// The leader's term.
+    /// Term of its log entry.
     pub term: u64,
-    /// The item.
-    pub work: String,
-    /// The token that it replaces; where another held by then, nothing was done.
-    pub after: u64,
-    /// To whom; null: freed.
+    /// Name of the resource.
+    #[serde(rename = "work")]
+    pub resource: String,
+    /// Token that the change replaces. If the resource had another token by then, the change had no effect.
+    #[serde(rename = "after")]
+    pub expected_token: u64,
+    /// Id of the new owner; null if the resource was freed.
     pub owner: Option<String>,
 }
 
-/// What the consensus adds to the object.
+/// The part of [`Status`] that comes from the consensus.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Consensus {
-    /// A majority is at work.
-    pub majority: bool,
-    /// This one as a voter.
+    /// See [`Status::has_majority`].
+    pub has_majority: bool,
+    /// See [`Status::voter`].
     pub voter: Option<Voter>,
-    /// Whose each item is.
+    /// See [`Status::owners`].
     pub owners: Vec<Owner>,
 }
 
-/// A member.
+/// A member as the reporting member sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Member {
     /// Its id.
     pub id: String,
-    /// alive, suspect, down or left.
+    /// `alive`, `suspect`, `down` or `left`.
     pub state: String,
     /// Its zone.
     pub zone: String,
-    /// Where it is reached.
+    /// Address at which it is reached.
     pub address: SocketAddr,
-    /// Above that of each earlier start.
-    pub incarnation: u64,
-    /// Its program's version.
+    /// Number of its start; above that of each earlier start.
+    #[serde(rename = "incarnation")]
+    pub generation: u64,
+    /// Version of its program.
     pub version: String,
-    /// How long ago it was heard itself; null: never, or it is the one that tells.
-    pub heard_ms: Option<u64>,
-    /// Who said first that it is suspect or down.
-    pub by: Option<String>,
-    /// It takes clients.
+    /// Time since the last frame from the member itself; null if there was none, or for the reporting member.
+    #[serde(rename = "heard_ms")]
+    pub last_heard_age_ms: Option<u64>,
+    /// Id of the member that first reported it as suspect or down.
+    #[serde(rename = "by")]
+    pub reported_by: Option<String>,
+    /// Whether it accepts clients.
     pub ready: bool,
-    /// Staff have sent its clients away.
+    /// Whether operators have taken it out of service.
     pub draining: bool,
-    /// It is on its way out.
+    /// Whether it is shutting down.
     pub leaving: bool,
-    /// Calls open and standing, of late.
+    /// Number of its calls in set-up or established, as last announced.
     pub calls: u32,
-    /// The age of its list of servers when it last told; null: it has none.
+    /// Age of its list of servers when it last announced it; null if it has none.
     pub list_age_ms: Option<u64>,
-    /// Digest of its operators' file, in hex.
-    pub ops: String,
+    /// Digest of its operators' file, in hexadecimal.
+    #[serde(rename = "ops")]
+    pub ops_digest: String,
 }
 
-/// The other process under one id.
+/// Another process under the id of this member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DuplicateProcess {
-    /// Where it is reached.
+    /// Address at which it is reached.
     pub address: SocketAddr,
-    /// How long it had run when it was last heard of.
+    /// Its uptime in milliseconds, as last announced.
     pub age_ms: u64,
 }
 
-/// Frames that were dropped, by cause.
+/// Counters of dropped frames, by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Dropped {
-    /// Too short, or not to be read.
-    pub cut: u64,
-    /// Longer than may be.
+    /// Truncated or malformed.
+    #[serde(rename = "cut")]
+    pub truncated: u64,
+    /// Larger than the maximum size.
     pub oversized: u64,
     /// Not sealed with this fleet's key.
     pub forged: u64,
-    /// Of another version of the protocol.
+    /// Of another protocol version.
     pub version: u64,
-    /// Played again, or meant for an earlier start.
+    /// Replayed, or addressed to an earlier start; also messages received in standby.
     pub replayed: u64,
-    /// More came in a second than is read.
-    pub flood: u64,
-    /// More streams at a time than are held.
-    pub streams: u64,
-    /// The system did not take it at once.
+    /// Datagrams above the maximum rate.
+    #[serde(rename = "flood")]
+    pub rate_limited: u64,
+    /// Streams above the maximum number at a time.
+    #[serde(rename = "streams")]
+    pub excess_streams: u64,
+    /// Not sent: the operating system or the peer's queue did not accept it at once.
     pub unsent: u64,
 }
 
 impl Status {
-    /// As it is now.
-    pub fn of(
+    /// Builds the status at time `now`.
+    pub fn new(
         membership: &Membership,
         now: Micros,
         period: Micros,
@@ -166,13 +184,14 @@
         consensus: Option<Consensus>,
     ) -> Status {
         let members = membership.members(now);
-        let me = members.iter().find(|m| membership.is_own_id(&m.id));
-        let duplicate =
-            membership.duplicate().map(|t| DuplicateProcess { address: t.address, age_ms: t.uptime / 1000 });
+        let own = members.iter().find(|m| membership.is_own_id(&m.id));
+        let duplicate = membership
+            .duplicate()
+            .map(|other| DuplicateProcess { address: other.address, age_ms: other.uptime / 1000 });
         Status {
-            id: me.map(|m| m.id.to_string()).unwrap_or_default(),
-            settled: membership.is_settled(now),
-            majority: consensus.as_ref().map(|c| c.majority),
+            id: own.map(|m| m.id.to_string()).unwrap_or_default(),
+            is_settled: membership.is_settled(now),
+            has_majority: consensus.as_ref().map(|c| c.has_majority),
             voter: consensus.as_ref().and_then(|c| c.voter.clone()),
             owners: consensus.map(|c| c.owners).unwrap_or_default(),
             out: Vec::new(),
@@ -180,21 +199,21 @@
             is_standby: membership.is_standby(),
             duplicate,
             dropped: Dropped { replayed: dropped.replayed + membership.drop_counters().replayed, ..dropped },
-            bound_ms: Membership::settling_bound(period, members.len()) / 1000,
-            members: members.into_iter().map(Member::of).collect(),
+            settling_bound_ms: Membership::settling_bound(period, members.len()) / 1000,
+            members: members.into_iter().map(Member::from_report).collect(),
         }
     }
 
-    /// The status as text.
+    /// Renders the status as text.
     pub fn render(&self) -> String {
         let live = self.members.iter().filter(|m| m.state == "alive" || m.state == "suspect").count();
-        let settled = if self.settled { "settled" } else { "not settled" };
+        let settled = if self.is_settled { "settled" } else { "not settled" };
         let mut text = format!("{}: {live} of {} members live, {settled}\n", self.id, self.members.len());
         if let Some(duplicate) = &self.duplicate {
             text += &self.render_duplicate(duplicate);
         }
         text += &self.render_dropped();
-        text += match self.majority {
+        text += match self.has_majority {
             Some(true) => "a majority of the voters is at work\n",
             Some(false) => "no majority of the voters\n",
             None => "",
@@ -206,11 +225,11 @@
     }
 
     fn render_duplicate(&self, duplicate: &DuplicateProcess) -> String {
-        let role = if self.is_standby { "stands by for it" } else { "is the newer start" };
+        let role = if self.is_standby { "is in standby" } else { "is the newer start" };
         format!("another process runs as {} at {}; this one {role}\n", self.id, duplicate.address)
     }
 
-    /// The causes for which frames were dropped; empty if none was.
+    /// Renders the counters of dropped frames that are not 0; empty if all are.
     fn render_dropped(&self) -> String {
         let dropped = serde_json::to_value(self.dropped).unwrap_or_default();
         let counts = dropped.as_object().into_iter().flatten();
@@ -224,31 +243,32 @@
 }
 
 fn render_voter(voter: &Voter) -> String {
-    let leader = voter.leader.as_deref().unwrap_or("nobody known");
-    let trouble = voter.trouble.as_ref().map(|text| format!(": {text}")).unwrap_or_default();
-    format!("voter: {}, {}, term {}, led by {leader}{trouble}\n", voter.standing, voter.role, voter.term)
+    let leader = voter.leader.as_deref().unwrap_or("an unknown member");
+    let fault = voter.fault.as_ref().map(|text| format!(": {text}")).unwrap_or_default();
+    format!("voter: {}, {}, term {}, led by {leader}{fault}\n", voter.status, voter.role, voter.term)
 }
 
-/// Owners as a table for people.
+/// Renders resources and owners as a text table.
 pub fn owners_table(owners: &[Owner]) -> String {
     let mut rows = vec![["WORK", "OWNER", "TOKEN", "MINE"].map(str::to_string).to_vec()];
     rows.extend(owners.iter().map(|o| {
         let owner = o.owner.clone().unwrap_or_else(|| "-".into());
-        vec![o.work.clone(), owner, o.token.to_string(), if o.mine { "yes" } else { "no" }.to_string()]
+        vec![o.resource.clone(), owner, o.token.to_string(), if o.is_own { "yes" } else { "no" }.to_string()]
     }));
     aligned(rows)
 }
 
-/// Lines of the log as a table for people.
-pub fn changes_table(lines: &[CommittedChange]) -> String {
+/// Renders committed changes as a text table.
+pub fn changes_table(changes: &[CommittedChange]) -> String {
     let mut rows = vec![["INDEX", "TERM", "WORK", "AFTER", "OWNER"].map(str::to_string).to_vec()];
-    rows.extend(lines.iter().map(|l| {
-        let owner = l.owner.clone().unwrap_or_else(|| "freed".into());
-        vec![l.index.to_string(), l.term.to_string(), l.work.clone(), l.after.to_string(), owner]
+    rows.extend(changes.iter().map(|c| {
+        let owner = c.owner.clone().unwrap_or_else(|| "freed".into());
+        vec![c.index.to_string(), c.term.to_string(), c.resource.clone(), c.expected_token.to_string(), owner]
     }));
     aligned(rows)
 }
 
+/// Pads the cells of each column to the same width.
 fn aligned(rows: Vec<Vec<String>>) -> String {
     let columns = rows.first().map_or(0, Vec::len);
     let widths: Vec<usize> =
@@ -260,47 +280,47 @@
     rows.into_iter().map(line).collect()
 }
 
-/// The members as a table for people.
+/// Renders members as a text table.
 pub fn members_table(members: &[Member]) -> String {
-    let head = ["ID", "STATE", "ZONE", "ADDRESS", "INCARNATION", "VERSION", "HEARD", "CALLS", "DOES"];
-    let mut rows: Vec<Vec<String>> = vec![head.map(str::to_string).to_vec()];
+    let header = ["ID", "STATE", "ZONE", "ADDRESS", "INCARNATION", "VERSION", "HEARD", "CALLS", "DOES"];
+    let mut rows: Vec<Vec<String>> = vec![header.map(str::to_string).to_vec()];
     for m in members {
-        let does = [(m.leaving, "leaves"), (m.draining, "drains"), (m.ready, "serves")];
-        let does = does.into_iter().find(|(is, _)| *is).map_or("waits", |(_, word)| word);
-        let by = m.by.as_ref().map(|by| format!(" ({by})")).unwrap_or_default();
+        let activities = [(m.leaving, "leaves"), (m.draining, "drains"), (m.ready, "serves")];
+        let activity = activities.into_iter().find(|(is_set, _)| *is_set).map_or("waits", |(_, name)| name);
+        let reporter = m.reported_by.as_ref().map(|id| format!(" ({id})")).unwrap_or_default();
         rows.push(vec![
             m.id.clone(),
-            format!("{}{by}", m.state),
+            format!("{}{reporter}", m.state),
             m.zone.clone(),
             m.address.to_string(),
-            m.incarnation.to_string(),
+            m.generation.to_string(),
             m.version.clone(),
-            m.heard_ms.map_or("-".to_string(), |ms| format!("{ms} ms")),
+            m.last_heard_age_ms.map_or("-".to_string(), |ms| format!("{ms} ms")),
             m.calls.to_string(),
-            if m.state == "alive" { does.to_string() } else { "-".to_string() },
+            if m.state == "alive" { activity.to_string() } else { "-".to_string() },
         ]);
     }
     aligned(rows)
 }
 
 impl Member {
-    fn of(shown: MemberReport) -> Member {
-        let news = shown.info;
+    fn from_report(report: MemberReport) -> Member {
+        let info = report.info;
         Member {
-            id: shown.id.to_string(),
-            state: shown.state.name().to_string(),
-            zone: news.zone.to_string(),
-            address: news.address,
-            incarnation: shown.generation,
-            version: news.version.to_string(),
-            heard_ms: shown.last_heard_age.map(|t| t / 1000),
-            by: shown.reported_by.map(|by| by.to_string()),
-            ready: news.ready,
-            draining: news.draining,
-            leaving: news.leaving,
-            calls: news.calls,
-            list_age_ms: news.list_age,
-            ops: format!("{:016x}", news.ops_digest),
+            id: report.id.to_string(),
+            state: report.state.name().to_string(),
+            zone: info.zone.to_string(),
+            address: info.address,
+            generation: report.generation,
+            version: info.version.to_string(),
+            last_heard_age_ms: report.last_heard_age.map(|age| age / 1000),
+            reported_by: report.reported_by.map(|by| by.to_string()),
+            ready: info.ready,
+            draining: info.draining,
+            leaving: info.leaving,
+            calls: info.calls,
+            list_age_ms: info.list_age,
+            ops_digest: format!("{:016x}", info.ops_digest),
         }
     }
 }
--- a/src/fleet/test_effects.rs
+++ b/src/fleet/test_effects.rs
@@ -1,5 +1,6 @@
-//! Effects that only tests have (feature `faults`): an owner of `test/N` sends a datagram with its token to a recorder, again and
-//! again. The fail point `effect` is between the owner's check and the effect.
+//! Observable effects for tests (feature `faults`): the owner of the resource `test/N` repeatedly sends a datagram
+//! with its token to a recorder. The fail point `effect` lies between the owner's check of its lease and the
+//! datagram.
 
 use std::net::{SocketAddr, UdpSocket};
 
@@ -9,14 +10,14 @@
 use super::consensus_node::ConsensusNode;
 use crate::Micros;
 
-/// What a test asks for by the environment.
+/// Resources and recorder that a test has set in the environment.
 pub(super) struct TestEffects {
     resources: Vec<ResourceName>,
     recorder: Option<(UdpSocket, SocketAddr)>,
 }
 
 impl TestEffects {
-    /// `COBALTSPOOL_TEST_WORKS` is how many resources, `COBALTSPOOL_WITNESS` where effects go.
+    /// `COBALTSPOOL_TEST_WORKS` is the number of resources, `COBALTSPOOL_WITNESS` the address of the recorder.
     pub fn from_environment() -> TestEffects {
         let var = |name| std::env::var(name).ok();
         let count = var("COBALTSPOOL_TEST_WORKS").and_then(|n| n.parse().ok()).unwrap_or(0);
@@ -28,12 +29,12 @@
         }
     }
 
-    /// Has the node ask for the test's resources.
+    /// Makes the node request the test's resources.
     pub fn request_resources(&self, node: &ConsensusNode) {
         self.resources.iter().for_each(|resource| node.request_resource(resource.clone()));
     }
 
-    /// Sends an effect for each of them that the node owns.
+    /// Sends a datagram for each of these resources that the node owns.
     pub fn send_effects(&self, id: &MemberId, now: impl Fn() -> Micros, node: &ConsensusNode) {
         let Some((socket, recorder)) = &self.recorder else { return };
         for resource in &self.resources {
--- a/src/fleet/wal_writer.rs
+++ b/src/fleet/wal_writer.rs
@@ -1,8 +1,9 @@
-//! A voter's folder: its write-ahead log, locked, and the thread that writes it. The thread owns the file; it reports each write that is
-//! on disk, and the first that fails. After that it writes nothing more, since a sync that failed once says nothing of what it
-//! had been given. It ends when its [`WalWriter`] is dropped.
+//! A voter's folder with its write-ahead log, and the thread that writes the log. The thread owns the file. It
+//! reports each completed write and the first failed one, and writes nothing after a failure: once a sync has failed,
+//! it is unknown which of the data given to it is on disk. The thread ends when its [`WalWriter`] is dropped.
 //!
-//! The folder holds `log`, `lock`, for a moment `log.new`, and `log.damaged` where unreadable records were found.
+//! The folder contains `log`, `lock` (a lock against other processes), `log.new` while the log is rewritten, and
+//! `log.damaged`, a copy of the log in which unreadable records were found.
 
 use std::fs::{self, File, OpenOptions, TryLockError};
 use std::io::{self, Read, Write};
@@ -15,41 +16,44 @@
 use cobaltspool_fleet::wal::{self, Damage, WalContents, WalError};
 use tokio::sync::mpsc as tokio_mpsc;
 
-/// Maximum number of writes that wait for the disk; one more counts as a failure.
+/// Maximum number of pending writes; a further one is rejected, and the voter treats that as a disk failure.
 const MAX_PENDING_WRITES: usize = 1_024;
 
-/// Why a folder cannot be used, or a write failed. The message says what to do.
+/// A folder cannot be used, or a write failed. The message names the remedy.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum StoreError {
-    /// The system refused an operation on the folder.
+    /// A file operation on the folder failed.
     #[error("{}: {operation}: {source}; see fleet.state", folder.display())]
     Folder { folder: PathBuf, operation: &'static str, source: io::Error },
-    /// Another process has it.
-    #[error("{}: another process has it locked ({source}); end that one, or give fleet.state", folder.display())]
+    /// Another process has locked the folder.
+    #[error(
+        "{}: another process has it locked ({source}); stop that process, or set fleet.state to another folder",
+        folder.display()
+    )]
     Locked { folder: PathBuf, source: TryLockError },
-    /// Its log cannot be used.
+    /// The log in the folder cannot be used.
     #[error("{}: {source}", folder.display())]
     Log { folder: PathBuf, source: WalError },
-    /// The writer's thread could not be started.
-    #[error("the thread that writes the fleet's log cannot be started: {0}")]
+    /// The writer thread could not be started.
+    #[error("cannot start the thread that writes the fleet's log: {0}")]
     Thread(io::Error),
-    /// The disk failed.
+    /// A write to the log failed.
     #[error(
-        "{}: a write failed ({source}): the voter takes part no more; mend the disk and start anew",
+        "{}: a write failed ({source}): the voter no longer takes part; repair the disk and start anew",
         folder.display()
     )]
     Write { folder: PathBuf, source: io::Error },
 }
 
-/// What the writer reports.
+/// Report of the writer.
 #[derive(Debug)]
 pub(super) enum StoreEvent {
     /// All writes up to this number are on disk.
     Written {
-        /// The number.
+        /// Number of the last of these writes.
         number: u64,
     },
-    /// A write failed; it was the last.
+    /// A write failed; the writer has ended.
     Failed(StoreError),
 }
 
@@ -58,17 +62,17 @@
     records: Vec<LogRecord>,
 }
 
-/// Takes writes for the thread; never waits.
+/// Queue of write requests to the thread. It never blocks.
 pub(super) struct WalWriter(mpsc::SyncSender<WriteRequest>);
 
 impl WalWriter {
-    /// Requests a write; false: too many are pending, or the disk has failed.
+    /// Requests a write. Returns false if too many are pending or the writer has ended.
     pub fn write(&self, number: u64, records: Vec<LogRecord>) -> bool {
         self.0.try_send(WriteRequest { number, records }).is_ok()
     }
 }
 
-/// A folder that was opened and read.
+/// A folder that is open and locked, with its recovered log.
 pub(super) struct OpenFolder {
     folder: PathBuf,
     file: File,
@@ -78,14 +82,14 @@
     _lock: File,
 }
 
-/// Opens a folder, or makes it, and recovers its log.
+/// Opens a folder, creating it if necessary, and recovers its log.
 ///
 /// # Errors
-/// Where the folder cannot be used. The voter does not vote then.
+/// If the folder cannot be used. The voter must not vote then.
 pub(super) fn open(folder: &Path) -> Result<OpenFolder, StoreError> {
     let failed =
         |operation| move |source| StoreError::Folder { folder: folder.to_path_buf(), operation, source };
-    fs::create_dir_all(folder).map_err(failed("cannot be made"))?;
+    fs::create_dir_all(folder).map_err(failed("cannot be created"))?;
     let lock = File::create(folder.join("lock")).map_err(failed("cannot be written"))?;
     lock.try_lock().map_err(|source| StoreError::Locked { folder: folder.to_path_buf(), source })?;
     let path = folder.join("log");
@@ -100,7 +104,7 @@
     let (recovered, damage) =
         wal::recover(&bytes).map_err(|source| StoreError::Log { folder: folder.to_path_buf(), source })?;
     if damage.unreadable_records > 0 {
-        // What is unreadable is kept for whoever looks into it; the voter asks its peers for it.
+        // Keeps the unreadable records for diagnosis; the voter gets the entries from its peers.
         let _ = fs::copy(&path, folder.join("log.damaged"));
     }
     let contents = WalContents { hard_state: recovered.hard_state.clone(), log: recovered.log.clone() };
@@ -108,22 +112,22 @@
     Ok(OpenFolder { folder: folder.to_path_buf(), file, contents, recovered, damage, _lock: lock })
 }
 
-/// Writes the whole file anew, beside the old one and then in its place.
+/// Writes the contents to a new file, which then replaces the log atomically.
 fn rewrite(folder: &Path, contents: &WalContents) -> io::Result<File> {
-    let (new, path) = (folder.join("log.new"), folder.join("log"));
-    let mut file = File::create(&new)?;
+    let (new_path, path) = (folder.join("log.new"), folder.join("log"));
+    let mut file = File::create(&new_path)?;
     file.write_all(&contents.encode())?;
     file.sync_all()?;
-    fs::rename(&new, &path)?;
+    fs::rename(&new_path, &path)?;
     File::open(folder)?.sync_all()?;
     OpenOptions::new().append(true).open(&path)
 }
 
 impl OpenFolder {
-    /// Writes from now on, on a thread of its own. Returns the writer, and what the log held.
+    /// Starts the writer thread. Returns the writer and the state recovered from the log.
     ///
     /// # Errors
-    /// Where the thread cannot be started.
+    /// If the thread cannot be started.
     pub fn start(
         mut self,
         events: tokio_mpsc::UnboundedSender<StoreEvent>,
@@ -131,13 +135,13 @@
         let recovered = std::mem::take(&mut self.recovered);
         let Damage { unreadable_records, torn_bytes } = self.damage;
         let (writer, requests) = mpsc::sync_channel::<WriteRequest>(MAX_PENDING_WRITES);
-        let work = move || self.run(&requests, &events);
-        let named = thread::Builder::new().name("fleet-disk".into());
-        named.spawn(work).map_err(StoreError::Thread)?;
+        let run = move || self.run(&requests, &events);
+        let builder = thread::Builder::new().name("fleet-disk".into());
+        builder.spawn(run).map_err(StoreError::Thread)?;
         if unreadable_records + torn_bytes > 0 {
             tracing::error!(
                 target: "fleet", bad = unreadable_records, torn = torn_bytes,
-                "the voter's log is damaged: what is missing comes from its peers"
+                "the voter's log is damaged: missing entries are requested from its peers"
             );
         }
         Ok((WalWriter(writer), recovered))
@@ -149,7 +153,7 @@
         events: &tokio_mpsc::UnboundedSender<StoreEvent>,
     ) {
         while let Ok(mut request) = requests.recv() {
-            // What has come meanwhile is written with it: one sync serves all.
+            // Writes all pending requests together, with one sync.
             while let Ok(next) = requests.try_recv() {
                 request.number = next.number;
                 request.records.extend(next.records);
@@ -182,10 +186,10 @@
         self.file.write_all(&bytes)?;
         fail::fail_point!("disk-sync", |_| Err(io::Error::other("fail point")));
         self.file.sync_data()?;
-        // A file whose folder is gone still takes writes, and nobody will ever read them.
+        // Writes to a deleted or replaced file succeed, but are lost at the next start.
         let at_path = fs::metadata(self.folder.join("log"))?;
         if at_path.ino() != self.file.metadata()?.ino() {
-            return Err(io::Error::other("another file has taken the log's place"));
+            return Err(io::Error::other("the log file was replaced by another one"));
         }
         Ok(())
     }
