--- a/src/driver.rs
+++ b/src/driver.rs
@@ -19,7 +19,7 @@
 use crate::gateway::{Command, Gateway, Input};
 use crate::limits::Plan;
 use crate::link;
-use crate::list::resolver::Heard;
+use crate::list::resolver::LastListTime;
 use crate::operate::metrics::Metrics;
 use crate::operate::serving_state::{OpenWork, ServingState};
 use crate::operate::{AdminService, FrontendStatus};
@@ -51,7 +51,7 @@
     /// When the last endpoint list was received. Until the first one, no call can be sent to a server.
     pub list_received_at: Option<Micros>,
     /// When the resolver last answered with a list, changed or unchanged.
-    pub last_list_response_at: Rc<Heard>,
+    pub last_list_response_at: Rc<LastListTime>,
 }
 
 impl Driver {
@@ -66,7 +66,7 @@
             class_names,
             serving_state: ServingState::new(max_wait),
             list_received_at: None,
-            last_list_response_at: Rc::new(Heard::new(clock::now())),
+            last_list_response_at: Rc::new(LastListTime::new(clock::now())),
         }
     }
 
--- a/src/list/directory.rs
+++ b/src/list/directory.rs
@@ -12,7 +12,7 @@
 /// at a known address is not taken for the old one.
 #[derive(Default)]
 pub struct Directory {
-    numbers: BTreeMap<Rc<str>, ServerId>,
+    server_ids: BTreeMap<Rc<str>, ServerId>,
     listed: BTreeMap<ServerId, ListedServer>,
 }
 
@@ -38,7 +38,7 @@
         let mut entries = Vec::with_capacity(list.len());
         let mut kept = Vec::with_capacity(list.len());
         for line in list {
-            let server = self.number_of(&line.id);
+            let server = self.assign_id(&line.id);
             entries.push(ServerEntry {
                 server,
                 pool: line.pool,
@@ -58,9 +58,9 @@
     }
 
     /// The number of an id; a new one if the id was never listed.
-    fn number_of(&mut self, id: &Rc<str>) -> ServerId {
-        let next = ServerId(self.numbers.len() as u32);
-        *self.numbers.entry(id.clone()).or_insert(next)
+    fn assign_id(&mut self, id: &Rc<str>) -> ServerId {
+        let next = ServerId(self.server_ids.len() as u32);
+        *self.server_ids.entry(id.clone()).or_insert(next)
     }
 
     /// Stores a server's line and notes whether it was closed or restarted.
@@ -93,13 +93,13 @@
     }
 
     /// A server's line, while it is listed.
-    pub fn line(&self, server: ServerId) -> Option<&ListedServer> {
+    pub fn get(&self, server: ServerId) -> Option<&ListedServer> {
         self.listed.get(&server)
     }
 
     /// The number of a listed server's id.
-    pub fn number(&self, id: &str) -> Option<ServerId> {
-        self.numbers.get(id).copied().filter(|server| self.listed.contains_key(server))
+    pub fn server_id(&self, id: &str) -> Option<ServerId> {
+        self.server_ids.get(id).copied().filter(|server| self.listed.contains_key(server))
     }
 
     /// The address of a listed server.
@@ -108,13 +108,13 @@
     }
 
     /// Whether a server takes calls.
-    pub fn up(&self, server: ServerId) -> bool {
+    pub fn is_up(&self, server: ServerId) -> bool {
         self.listed.get(&server).is_some_and(|l| l.status == ServerStatus::Up)
     }
 
     /// A server's id, for the log.
     pub fn name(&self, server: ServerId) -> &str {
-        self.numbers.iter().find(|(_, n)| **n == server).map_or("?", |(id, _)| id)
+        self.server_ids.iter().find(|(_, n)| **n == server).map_or("?", |(id, _)| id)
     }
 
     /// All listed servers.
--- a/src/list/dns.rs
+++ b/src/list/dns.rs
@@ -16,7 +16,7 @@
 
 /// Why a query cannot be built.
 #[derive(Debug, thiserror::Error)]
-pub enum QuestionError {
+pub enum QueryError {
     /// The name is not a valid domain name.
     #[error("{name}: {source}")]
     Name {
@@ -34,8 +34,8 @@
 ///
 /// # Errors
 /// If the name is not a valid domain name.
-pub fn question(name: &str, kind: RecordType) -> Result<(u16, Vec<u8>), QuestionError> {
-    let invalid = |source| QuestionError::Name { name: name.to_string(), source };
+pub fn build_query(name: &str, kind: RecordType) -> Result<(u16, Vec<u8>), QueryError> {
+    let invalid = |source| QueryError::Name { name: name.to_string(), source };
     let name = Name::from_str(name).map_err(invalid)?;
     let mut message = Message::query();
     message.add_query(Query::query(name, kind));
@@ -99,12 +99,12 @@
     }
 
     /// Hosts named by SRV records whose addresses are still unknown.
-    pub fn homeless(&self) -> Vec<Name> {
+    pub fn hosts_without_address(&self) -> Vec<Name> {
         self.srv.iter().map(|s| &s.host).filter(|h| !self.hosts.contains_key(h)).cloned().collect()
     }
 
     /// Hosts whose servers no TXT record describes yet.
-    pub fn undescribed(&self) -> Vec<Name> {
+    pub fn hosts_without_txt(&self) -> Vec<Name> {
         let told = |s: &&Service| self.texts.contains_key(&s.host) || self.texts.contains_key(&s.name);
         self.srv.iter().filter(|s| !told(s)).map(|s| s.host.clone()).collect()
     }
--- a/src/list/resolver.rs
+++ b/src/list/resolver.rs
@@ -14,20 +14,20 @@
 use crate::clock;
 
 use super::ListedServer;
-use super::dns::{Records, question};
+use super::dns::{Records, build_query};
 
 /// Polling interval. Sends to a draining server must end within a fixed time after the drain is published, and the
 /// interval is part of that time.
-pub const PERIOD: Duration = Duration::from_millis(250);
+pub const POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// Time to wait for an answer before the query is sent again.
-const ANSWER: Duration = Duration::from_millis(250);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
 /// Maximum size of an answer in bytes.
-const ANSWER_BYTES: usize = 8192;
+const MAX_ANSWER_BYTES: usize = 8192;
 /// Maximum number of outstanding queries; beyond it the oldest is dropped. An answer may arrive after the next query was
 /// sent, and is still used.
-const MAX_OPEN: usize = 24;
+const MAX_OUTSTANDING: usize = 24;
 /// Time without a list after which the resolver counts as silent.
-const SILENT: Duration = Duration::from_secs(5);
+const SILENCE_THRESHOLD: Duration = Duration::from_secs(5);
 
 /// The service to look up.
 #[derive(Clone, Debug, PartialEq)]
@@ -45,11 +45,11 @@
 /// `seq` is the version of the list already known. The resolver's address may change at any time; the new one is queried
 /// at once and versions continue. A late answer is used if it is newer than the known list. A silent resolver is logged
 /// once; `heard` holds the time of the last list.
-pub async fn follow(
+pub async fn poll_list(
     mut resolver: watch::Receiver<SocketAddr>,
     service: Service,
     mut seq: Option<u32>,
-    heard: &Heard,
+    heard: &LastListTime,
     mut on_list: impl FnMut(Micros, Option<u32>, Vec<ListedServer>),
 ) {
     let mut last: Option<Vec<ListedServer>> = None;
@@ -58,7 +58,7 @@
         let server = *resolver.borrow_and_update();
         let mut socket = None;
         loop {
-            let next = Instant::now() + PERIOD;
+            let next = Instant::now() + POLL_INTERVAL;
             let take = |asked, (serial, list): (Option<u32>, Vec<ListedServer>)| {
                 watch.heard();
                 let new = match (serial, seq) {
@@ -94,11 +94,11 @@
 }
 
 /// Time of the last list received, new or not; 0 if none was.
-pub type Heard = Cell<Micros>;
+pub type LastListTime = Cell<Micros>;
 
 /// Logs when the resolver falls silent.
 struct Watch<'a> {
-    heard: &'a Heard,
+    heard: &'a LastListTime,
     since: Instant,
     silent: bool,
 }
@@ -113,7 +113,7 @@
     }
 
     fn look(&mut self, server: SocketAddr) {
-        if !self.silent && self.since.elapsed() >= SILENT {
+        if !self.silent && self.since.elapsed() >= SILENCE_THRESHOLD {
             self.silent = true;
             tracing::warn!(resolver = %server, "the resolver is silent: the list may be old");
         }
@@ -157,8 +157,8 @@
             Service::Srv(name) => (name, RecordType::SRV),
             Service::DnsSd(name) => (name, RecordType::PTR),
         };
-        let (newest, bytes) = question(name, kind).ok()?;
-        if self.open.len() >= MAX_OPEN {
+        let (newest, bytes) = build_query(name, kind).ok()?;
+        if self.open.len() >= MAX_OUTSTANDING {
             self.open.pop_front();
         }
         self.open.push_back((newest, clock::now()));
@@ -166,7 +166,7 @@
             // What an earlier question met is told to the next one, which has not gone out then.
             self.socket.send(&bytes).await.ok()?;
         }
-        let mut answer = vec![0; ANSWER_BYTES];
+        let mut answer = vec![0; MAX_ANSWER_BYTES];
         loop {
             let Ok(Ok(size)) = timeout_at(next, self.socket.recv(&mut answer)).await else { return Some(()) };
             let mut records = Records::default();
@@ -194,10 +194,10 @@
                 }
             }
         }
-        for host in records.undescribed() {
+        for host in records.hosts_without_txt() {
             exchange(&self.socket, &host.to_ascii(), RecordType::TXT, records).await?;
         }
-        for host in records.homeless() {
+        for host in records.hosts_without_address() {
             exchange(&self.socket, &host.to_ascii(), RecordType::A, records).await?;
         }
         Some(())
@@ -205,10 +205,10 @@
 }
 
 async fn exchange(socket: &UdpSocket, name: &str, kind: RecordType, records: &mut Records) -> Option<()> {
-    let (id, bytes) = question(name, kind).ok()?;
-    let until = Instant::now() + ANSWER;
+    let (id, bytes) = build_query(name, kind).ok()?;
+    let until = Instant::now() + ANSWER_TIMEOUT;
     socket.send(&bytes).await.ok()?;
-    let mut answer = vec![0; ANSWER_BYTES];
+    let mut answer = vec![0; MAX_ANSWER_BYTES];
     loop {
         let size = timeout_at(until, socket.recv(&mut answer)).await.ok()?.ok()?;
         if records.read(id, &answer[..size]) {
--- a/src/platform/handover.rs
+++ b/src/platform/handover.rs
@@ -249,7 +249,7 @@
 
     /// Handles the end of a call whose message from the server arrived at the other process.
     fn handle_ended_by_server(&mut self, server: String, tag: String, completed: bool) {
-        let key = self.directory.number(&server).zip(Tag::parse(&tag));
+        let key = self.directory.server_id(&server).zip(Tag::parse(&tag));
         let attempt = key.and_then(|(server, tag)| self.servers.established_attempt(CallKey { server, tag }));
         match attempt {
             Some(attempt) => {
@@ -267,9 +267,9 @@
         // Drains from an older list than this process's are ignored: the server may have returned since.
         let list_is_current = inheritance.seq.is_some_and(|seq| seq >= self.list_seq);
         for known in inheritance.servers {
-            let Some(server) = self.directory.number(&known.server) else { continue };
-            if let (Some(since), true) = (known.draining_for, list_is_current && self.directory.up(server))
-                && let Some(line) = self.directory.line(server)
+            let Some(server) = self.directory.server_id(&known.server) else { continue };
+            if let (Some(since), true) = (known.draining_for, list_is_current && self.directory.is_up(server))
+                && let Some(line) = self.directory.get(server)
             {
                 let draining = ListedServer { status: ServerStatus::Draining, ..line.clone() };
                 self.handle_endpoint_list(
@@ -318,7 +318,7 @@
             return;
         };
         let class = self.clients.class_index(&established.class).unwrap_or(usize::MAX);
-        let Some(server) = self.directory.number(&established.server) else {
+        let Some(server) = self.directory.server_id(&established.server) else {
             // Its server is not in this process's list: it was removed, and the call was lost with it.
             return self.clients.release_for_peer_process(tag, established.peer, false);
         };
@@ -350,7 +350,7 @@
         else {
             return;
         };
-        if !self.directory.up(server) {
+        if !self.directory.is_up(server) {
             return;
         }
         let message = HandoverMessage::Established(EstablishedCall {
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -94,7 +94,7 @@
 async fn follow_endpoint_list(frontend: SharedFrontend, server: watch::Receiver<SocketAddr>, seq: u32) {
     let service = resolver::Service::Srv("_back._tcp.pool.lan.".to_string());
     let last_list_response_at = frontend.borrow().driver.last_list_response_at.clone();
-    resolver::follow(server, service, Some(seq), &last_list_response_at, |queried_at, serial, list| {
+    resolver::poll_list(server, service, Some(seq), &last_list_response_at, |queried_at, serial, list| {
         let mut frontend = frontend.borrow_mut();
         frontend.list_seq = serial.unwrap_or(frontend.list_seq);
         frontend.handle_endpoint_list(queried_at, EndpointListScope::Complete, list);
--- a/src/platform/servers/pool.rs
+++ b/src/platform/servers/pool.rs
@@ -233,7 +233,7 @@
         if has_usable_up {
             self.servers.retire_replaceable(server, has_calls, now);
         }
-        let is_wanted = self.directory.up(server) || has_calls;
+        let is_wanted = self.directory.is_up(server) || has_calls;
         if is_wanted && (!has_any || !has_usable) {
             self.dial(server, now);
         }
--- a/src/sip/mod.rs
+++ b/src/sip/mod.rs
@@ -142,7 +142,7 @@
         let service = resolver::Service::DnsSd(config.service.clone());
         let on_list = |notified_at, _, list| frontend.borrow_mut().apply_list(notified_at, list);
         let last_response_at = frontend.borrow().driver.last_list_response_at.clone();
-        resolver::follow(resolver, service, None, &last_response_at, on_list).await;
+        resolver::poll_list(resolver, service, None, &last_response_at, on_list).await;
     };
     let tasks = async {
         tokio::join!(
--- a/tests/list.rs
+++ b/tests/list.rs
@@ -5,7 +5,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use cobaltspool::list::resolver::{Heard, Service, follow};
+use cobaltspool::list::resolver::{LastListTime, Service, poll_list};
 use cobaltspool::list::{Directory, ListedServer};
 use cobaltspool::{EndpointListScope, PoolId, ServerId, ServerStatus};
 use peers::*;
@@ -35,9 +35,9 @@
             tokio::task::yield_now().await;
         }
     };
-    let heard = Heard::default();
+    let heard = LastListTime::default();
     tokio::select! {
-        () = follow(watch::channel(resolver.address).1, service, None, &heard, on_list) => {}
+        () = poll_list(watch::channel(resolver.address).1, service, None, &heard, on_list) => {}
         () = found => {}
         () = tokio::time::sleep(PATIENCE) => panic!("no such list came"),
     }
@@ -77,7 +77,7 @@
         directory.apply(EndpointListScope::Complete, vec![listed("c", 1, ServerStatus::Up)]);
     assert_eq!(entries[0].server, ServerId(2), "a new machine at an old address");
     assert_eq!(changes.removed, [ServerId(0), ServerId(1)], "missing from a whole list is gone");
-    assert_eq!((directory.address(ServerId(0)), directory.up(ServerId(2))), (None, true));
+    assert_eq!((directory.address(ServerId(0)), directory.is_up(ServerId(2))), (None, true));
 }
 
 #[test]
@@ -96,7 +96,7 @@
     let again = ListedServer { started_at: 9, ..listed("b", 2, ServerStatus::Up) };
     let (_, changes) = directory.apply(EndpointListScope::Changes, vec![again]);
     assert_eq!(changes.restarted, [(ServerId(1), 9)], "the same machine, another process");
-    assert_eq!((directory.up(ServerId(1)), directory.name(ServerId(1))), (true, "b"));
+    assert_eq!((directory.is_up(ServerId(1)), directory.name(ServerId(1))), (true, "b"));
 }
 
 /// What is no good answer changes nothing: a failure read as an empty list, or an older list, would take every
@@ -131,9 +131,9 @@
         resolver.change(0, |list| list.push(line("s-2", ([127, 0, 0, 1], 5072).into(), 2)));
         came(2).await;
     };
-    let heard = Heard::default();
+    let heard = LastListTime::default();
     tokio::select! {
-        () = follow(told, service, None, &heard, on_list) => {}
+        () = poll_list(told, service, None, &heard, on_list) => {}
         () = story => {}
         () = tokio::time::sleep(PATIENCE) => panic!("no such list came"),
     }
@@ -173,9 +173,9 @@
             resolver.change(0, |list| list.push(line(id, at, 2)));
         }
     };
-    let heard = Heard::default();
+    let heard = LastListTime::default();
     tokio::select! {
-        () = follow(told, service, None, &heard, on_list) => {}
+        () = poll_list(told, service, None, &heard, on_list) => {}
         () = story => {}
         () = tokio::time::sleep(PATIENCE) => panic!("no such list came: {:?}", seen.borrow()),
     }
