--- a/src/list/directory.rs
+++ b/src/list/directory.rs
@@ -1,4 +1,4 @@
-//! The directory of servers: keyed by id, numbered for the core.
+//! The directory of servers. Maps the ids in the server list to the numeric ids that the core uses.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,15 +8,15 @@
 
 use super::ListedServer;
 
-/// The most recent list, with a number for each id that was ever in it. Numbers are never reused, so a new server
-/// at a known address is not taken for the old one.
+/// The most recent list, with a numeric id for each server that was ever listed. Numeric ids are never reused, so a
+/// new server at a known address is not confused with the previous one.
 #[derive(Default)]
 pub struct Directory {
     server_ids: BTreeMap<Rc<str>, ServerId>,
     listed: BTreeMap<ServerId, ListedServer>,
 }
 
-/// What a complete list changed, in addition to the entries for the core.
+/// The changes made by a list, in addition to the entries for the core.
 #[derive(Debug, Default, PartialEq)]
 pub struct Changes {
     /// Servers that must get no new calls: draining or removed.
@@ -28,7 +28,8 @@
 }
 
 impl Directory {
-    /// Applies a list, either complete or only the changed lines. Returns the core's entries and what changed.
+    /// Applies a list, which is either complete or contains only changed entries. Returns the core's entries and the
+    /// changes.
     pub fn apply(
         &mut self,
         scope: EndpointListScope,
@@ -37,17 +38,17 @@
         let mut changes = Changes::default();
         let mut entries = Vec::with_capacity(list.len());
         let mut kept = Vec::with_capacity(list.len());
-        for line in list {
-            let server = self.assign_id(&line.id);
+        for listed in list {
+            let server = self.assign_id(&listed.id);
             entries.push(ServerEntry {
                 server,
-                pool: line.pool,
-                started_at: line.started_at,
-                status: line.status,
+                pool: listed.pool,
+                started_at: listed.started_at,
+                status: listed.status,
             });
-            if line.status != ServerStatus::Removed {
+            if listed.status != ServerStatus::Removed {
                 kept.push(server);
-                self.record(server, line, &mut changes);
+                self.record(server, listed, &mut changes);
             }
         }
         let complete = scope != EndpointListScope::Changes;
@@ -57,16 +58,16 @@
         (entries, changes)
     }
 
-    /// The number of an id; a new one if the id was never listed.
+    /// Returns the numeric id of a server; assigns a new one if the server was never listed.
     fn assign_id(&mut self, id: &Rc<str>) -> ServerId {
         let next = ServerId(self.server_ids.len() as u32);
         *self.server_ids.entry(id.clone()).or_insert(next)
     }
 
-    /// Stores a server's line and notes whether it was closed or restarted.
-    fn record(&mut self, server: ServerId, line: ListedServer, changes: &mut Changes) {
-        let (status, started_at) = (line.status, line.started_at);
-        let previous = self.listed.insert(server, line);
+    /// Stores a server's entry and records whether the server was closed or restarted.
+    fn record(&mut self, server: ServerId, listed: ListedServer, changes: &mut Changes) {
+        let (status, started_at) = (listed.status, listed.started_at);
+        let previous = self.listed.insert(server, listed);
         let was_open = previous.as_ref().is_none_or(|p| p.status == ServerStatus::Up);
         if status != ServerStatus::Up && was_open {
             changes.closed.push(server);
@@ -76,7 +77,8 @@
         }
     }
 
-    /// Removes the servers that the list removed: the named ones, or all that a complete list did not keep.
+    /// Deletes the servers that the list removed: those named as removed and, if the list is complete, all that it
+    /// does not contain.
     fn remove_unlisted(
         &mut self,
         kept: &[ServerId],
@@ -92,12 +94,12 @@
         removed
     }
 
-    /// A server's line, while it is listed.
+    /// The entry of a listed server.
     pub fn get(&self, server: ServerId) -> Option<&ListedServer> {
         self.listed.get(&server)
     }
 
-    /// The number of a listed server's id.
+    /// The numeric id of a server, if the server is listed.
     pub fn server_id(&self, id: &str) -> Option<ServerId> {
         self.server_ids.get(id).copied().filter(|server| self.listed.contains_key(server))
     }
@@ -107,17 +109,17 @@
         self.listed.get(&server).map(|l| l.address)
     }
 
-    /// Whether a server takes calls.
+    /// Whether a server accepts new calls.
     pub fn is_up(&self, server: ServerId) -> bool {
         self.listed.get(&server).is_some_and(|l| l.status == ServerStatus::Up)
     }
 
-    /// A server's id, for the log.
+    /// The id of a server as listed, for log messages; "?" if it was never listed.
     pub fn name(&self, server: ServerId) -> &str {
         self.server_ids.iter().find(|(_, n)| **n == server).map_or("?", |(id, _)| id)
     }
 
-    /// All listed servers.
+    /// The numeric ids of all listed servers.
     pub fn servers(&self) -> impl Iterator<Item = ServerId> + '_ {
         self.listed.keys().copied()
     }
--- a/src/list/dns.rs
+++ b/src/list/dns.rs
@@ -1,5 +1,6 @@
-//! The server list in DNS records: SRV names the servers, A gives their addresses, TXT their kind, cell and start; the
-//! SOA serial is the list's version. With DNS-SD (RFC 6763), PTR names the instances that SRV and TXT describe.
+//! Encoding of the server list in DNS records. SRV records name the servers, A and AAAA records hold their addresses,
+//! and TXT records hold their pool (`cell`) and start time (`started`). The serial of the SOA record is the version of
+//! the list. With DNS-SD (RFC 6763), PTR records name the instances that SRV and TXT records describe.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, SocketAddr};
@@ -20,9 +21,9 @@
     /// The name is not a valid domain name.
     #[error("{name}: {source}")]
     Name {
-        /// The name.
+        /// The rejected name.
         name: String,
-        /// The reason.
+        /// The parser's error.
         source: ProtoError,
     },
     /// The query cannot be encoded.
@@ -30,10 +31,10 @@
     Encode(#[from] ProtoError),
 }
 
-/// Builds an encoded query and its id.
+/// Builds a query. Returns its id and its encoded form.
 ///
 /// # Errors
-/// If the name is not a valid domain name.
+/// If the name is not a valid domain name, or the query cannot be encoded.
 pub fn build_query(name: &str, kind: RecordType) -> Result<(u16, Vec<u8>), QueryError> {
     let invalid = |source| QueryError::Name { name: name.to_string(), source };
     let name = Name::from_str(name).map_err(invalid)?;
@@ -43,20 +44,22 @@
     Ok((id, message.to_vec()?))
 }
 
+/// An SRV record.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Service {
     name: Name,
     host: Name,
     port: u16,
+    /// A priority above 0 marks a server that is draining.
     draining: bool,
 }
 
-/// The records of the list collected from one or more answers.
+/// The records of one list, collected from one or more answers.
 #[derive(Default)]
 pub struct Records {
-    /// The list's version, from the SOA record's serial.
+    /// The version of the list, taken from the serial of the SOA record.
     pub serial: Option<u32>,
-    /// Instances named by PTR records.
+    /// Service instances named by PTR records.
     pub instances: BTreeSet<Name>,
     srv: BTreeSet<Service>,
     hosts: BTreeMap<Name, IpAddr>,
@@ -64,8 +67,8 @@
 }
 
 impl Records {
-    /// Reads an answer to the query with this id; false if it is not one. An error response is not an answer: read as an
-    /// empty list it would remove every server.
+    /// Collects the records of an answer to the query with this id. Returns false if the message is not a valid answer
+    /// to it. An error response is rejected because, read as an empty list, it would remove every server.
     pub fn read(&mut self, id: u16, bytes: &[u8]) -> bool {
         let Ok(message) = Message::from_vec(bytes) else { return false };
         let head = &message.metadata;
@@ -86,7 +89,7 @@
                     self.hosts.entry(name).or_insert(IpAddr::V6(a.0));
                 }
                 RData::TXT(txt) => {
-                    self.texts.insert(name, pairs(txt));
+                    self.texts.insert(name, key_values(txt));
                 }
                 RData::PTR(ptr) => {
                     self.instances.insert(ptr.0.to_lowercase());
@@ -98,39 +101,39 @@
         true
     }
 
-    /// Hosts named by SRV records whose addresses are still unknown.
+    /// Hosts named by SRV records for which no address record was received yet.
     pub fn hosts_without_address(&self) -> Vec<Name> {
         self.srv.iter().map(|s| &s.host).filter(|h| !self.hosts.contains_key(h)).cloned().collect()
     }
 
-    /// Hosts whose servers no TXT record describes yet.
+    /// Hosts of servers for which no TXT record was received yet.
     pub fn hosts_without_txt(&self) -> Vec<Name> {
-        let told = |s: &&Service| self.texts.contains_key(&s.host) || self.texts.contains_key(&s.name);
-        self.srv.iter().filter(|s| !told(s)).map(|s| s.host.clone()).collect()
+        let has_txt = |s: &&Service| self.texts.contains_key(&s.host) || self.texts.contains_key(&s.name);
+        self.srv.iter().filter(|s| !has_txt(s)).map(|s| s.host.clone()).collect()
     }
 
-    /// Whether SRV records of this name were received.
+    /// Whether an SRV record with this name was received.
     pub fn has_service(&self, name: &Name) -> bool {
         self.srv.iter().any(|s| s.name == *name)
     }
 
-    /// The servers, one for each SRV record whose host has an address. A server's id is the first label of
-    /// its host; TXT records stand under the host or, with DNS-SD, under the instance.
+    /// The servers, one for each SRV record whose host has an address. A server's id is the first label of its host
+    /// name. Its TXT record has the name of the host or, with DNS-SD, of the instance.
     pub fn servers(&self) -> Vec<ListedServer> {
         let mut list = Vec::with_capacity(self.srv.len());
         for service in &self.srv {
             let Some(ip) = self.hosts.get(&service.host) else { continue };
             let id = service.host.iter().next().map(String::from_utf8_lossy).unwrap_or_default();
             let texts = self.texts.get(&service.host).or_else(|| self.texts.get(&service.name));
-            let figure = |key: &str| {
+            let number = |key: &str| {
                 let value = texts?.iter().find(|(k, _)| k == key).map(|(_, v)| v.trim())?;
                 value.parse::<i64>().ok()
             };
             list.push(ListedServer {
                 id: id.into(),
                 address: SocketAddr::new(*ip, service.port),
-                pool: PoolId(figure("cell").unwrap_or(0)),
-                started_at: (figure("started").unwrap_or(0).max(0) as u64).saturating_mul(1000),
+                pool: PoolId(number("cell").unwrap_or(0)),
+                started_at: (number("started").unwrap_or(0).max(0) as u64).saturating_mul(1000),
                 status: if service.draining { ServerStatus::Draining } else { ServerStatus::Up },
             });
         }
@@ -138,7 +141,8 @@
     }
 }
 
-fn pairs(txt: &TXT) -> Vec<(String, String)> {
+/// Parses the `key=value` strings of a TXT record. Keys are converted to lower case.
+fn key_values(txt: &TXT) -> Vec<(String, String)> {
     let text = |part: &[u8]| String::from_utf8_lossy(part).into_owned();
     let split = |part: String| part.split_once('=').map(|(k, v)| (k.to_ascii_lowercase(), v.to_string()));
     txt.txt_data.iter().filter_map(|part| split(text(part))).collect()
--- a/src/list/mod.rs
+++ b/src/list/mod.rs
@@ -1,5 +1,5 @@
-//! The list of servers: the configured one at the start, the one from DNS later, and the directory of server ids.
-//! Both frontends use it.
+//! The list of servers: the configured list used at startup, the list polled from DNS, and the directory of server
+//! ids. Both frontends use it.
 
 mod directory;
 pub mod dns;
@@ -12,14 +12,15 @@
 
 pub use directory::Directory;
 
-/// One line of the list. The id identifies a server; its address may have belonged to another one before.
+/// One entry of the list. A server is identified by its id, since its address may have belonged to another server
+/// before.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedServer {
-    /// Its id.
+    /// The server's unique id.
     pub id: Rc<str>,
-    /// Its address.
+    /// The address at which it accepts calls.
     pub address: SocketAddr,
-    /// Its pool.
+    /// The pool it belongs to.
     pub pool: PoolId,
     /// When its process last started, in Unix microseconds; 0 if unknown.
     pub started_at: Micros,
--- a/src/list/resolver.rs
+++ b/src/list/resolver.rs
@@ -1,4 +1,4 @@
-//! Polls the DNS resolver for the server list over UDP and reports every new list.
+//! Polls the DNS resolver for the server list over UDP and reports each new list.
 
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -16,167 +16,172 @@
 use super::ListedServer;
 use super::dns::{Records, build_query};
 
-/// Polling interval. Sends to a draining server must end within a fixed time after the drain is published, and the
+/// Polling interval. New calls to a draining server must stop within a fixed time after the drain is published, and the
 /// interval is part of that time.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// Time to wait for an answer before the query is sent again.
+/// Time to wait for an answer to a query for missing records.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
 /// Maximum size of an answer in bytes.
 const MAX_ANSWER_BYTES: usize = 8192;
-/// Maximum number of outstanding queries; beyond it the oldest is dropped. An answer may arrive after the next query was
-/// sent, and is still used.
+/// Maximum number of outstanding queries; beyond it the oldest is dropped. An answer that arrives after the next query
+/// was sent is still used.
 const MAX_OUTSTANDING: usize = 24;
-/// Time without a list after which the resolver counts as silent.
+/// Time without a list after which the resolver is reported as silent.
 const SILENCE_THRESHOLD: Duration = Duration::from_secs(5);
 
 /// The service to look up.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Service {
-    /// One SRV set that holds the whole list.
+    /// A single set of SRV records that contains the whole list.
     Srv(String),
     /// DNS-SD: PTR records name the instances.
     DnsSd(String),
 }
 
-/// Polls the resolver for `service` without end. Calls `on_list` with every list that differs from the previous one, the
-/// time at which it was requested (a drain may count as published from any moment after that) and its version, if lists
-/// are versioned.
+/// Polls the resolver for `service`; never returns. Calls `on_list` with each new list, the time at which it was
+/// requested (a drain may have been published at any moment after that) and its version, if lists are versioned.
 ///
-/// `seq` is the version of the list already known. The resolver's address may change at any time; the new one is queried
-/// at once and versions continue. A late answer is used if it is newer than the known list. A silent resolver is logged
-/// once; `heard` holds the time of the last list.
+/// `known_serial` is the version of the list that the caller already has. A versioned list is new if its version is
+/// later than the known one, an unversioned list if it differs from the previous one. The resolver's address may change
+/// at any time; the new address is queried at once, and versions are still compared with the known one. A late answer
+/// is used if its list is new. A silent resolver is logged once. `last_list_at` is set to the time of the last list.
 pub async fn poll_list(
     mut resolver: watch::Receiver<SocketAddr>,
     service: Service,
-    mut seq: Option<u32>,
-    heard: &LastListTime,
+    mut known_serial: Option<u32>,
+    last_list_at: &LastListTime,
     mut on_list: impl FnMut(Micros, Option<u32>, Vec<ListedServer>),
 ) {
-    let mut last: Option<Vec<ListedServer>> = None;
-    let mut watch = Watch { heard, since: Instant::now(), silent: false };
+    let mut previous: Option<Vec<ListedServer>> = None;
+    let mut monitor = SilenceMonitor { last_list_at, since: Instant::now(), silent: false };
     loop {
         let server = *resolver.borrow_and_update();
-        let mut socket = None;
+        let mut client = None;
         loop {
-            let next = Instant::now() + POLL_INTERVAL;
-            let take = |asked, (serial, list): (Option<u32>, Vec<ListedServer>)| {
-                watch.heard();
-                let new = match (serial, seq) {
-                    (Some(serial), Some(seq)) => is_later(serial, seq),
+            let next_poll = Instant::now() + POLL_INTERVAL;
+            let handle_list = |requested_at, (serial, list): (Option<u32>, Vec<ListedServer>)| {
+                monitor.record_list();
+                let is_new = match (serial, known_serial) {
+                    (Some(serial), Some(known)) => is_later(serial, known),
                     (Some(_), None) => true,
-                    // Numbers that have begun do not end: it is no whole answer.
+                    // Once a version is known, an answer without one is incomplete and is ignored.
                     (None, Some(_)) => false,
-                    (None, None) => last.as_ref() != Some(&list),
+                    (None, None) => previous.as_ref() != Some(&list),
                 };
-                if new {
-                    (seq, last) = (serial, Some(list.clone()));
-                    on_list(asked, serial, list);
+                if is_new {
+                    (known_serial, previous) = (serial, Some(list.clone()));
+                    on_list(requested_at, serial, list);
                 }
             };
-            let asks = async {
-                if socket.is_none() {
-                    socket = Questions::to(server).await;
+            let poll = async {
+                if client.is_none() {
+                    client = QueryClient::connect(server).await;
                 }
-                if let Some(questions) = &mut socket
-                    && questions.ask(&service, next, take).await.is_none()
+                if let Some(connected) = &mut client
+                    && connected.query_list(&service, next_poll, handle_list).await.is_none()
                 {
-                    socket = None;
+                    client = None;
                 }
-                sleep_until(next).await;
+                sleep_until(next_poll).await;
             };
             tokio::select! {
-                () = asks => {}
+                () = poll => {}
                 Ok(()) = resolver.changed() => break,
             }
-            watch.look(server);
+            monitor.check(server);
         }
     }
 }
 
-/// Time of the last list received, new or not; 0 if none was.
+/// Time of the last list received, whether new or not; 0 if none was received.
 pub type LastListTime = Cell<Micros>;
 
-/// Logs when the resolver falls silent.
-struct Watch<'a> {
-    heard: &'a LastListTime,
+/// Logs when the resolver becomes silent and when it answers again.
+struct SilenceMonitor<'a> {
+    last_list_at: &'a LastListTime,
     since: Instant,
     silent: bool,
 }
 
-impl Watch<'_> {
-    fn heard(&mut self) {
+impl SilenceMonitor<'_> {
+    fn record_list(&mut self) {
         self.since = Instant::now();
-        self.heard.set(clock::now());
+        self.last_list_at.set(clock::now());
         if std::mem::take(&mut self.silent) {
-            tracing::info!("the resolver tells the list again");
+            tracing::info!("the resolver answers with a list again");
         }
     }
 
-    fn look(&mut self, server: SocketAddr) {
+    fn check(&mut self, server: SocketAddr) {
         if !self.silent && self.since.elapsed() >= SILENCE_THRESHOLD {
             self.silent = true;
-            tracing::warn!(resolver = %server, "the resolver is silent: the list may be old");
+            tracing::warn!(resolver = %server, "the resolver is silent: the list may be out of date");
         }
     }
 }
 
-/// Whether a serial is later than another (RFC 1982). An answer may hold an older list than the previous one; applying it
-/// would bring back removed servers.
+/// Whether a serial is later than another (RFC 1982). An answer may contain an older list than the previous answer did;
+/// applying it would bring back removed servers.
 fn is_later(serial: u32, than: u32) -> bool {
     serial.wrapping_sub(than).wrapping_sub(1) < u32::MAX / 2
 }
 
-/// A socket to one resolver, and the queries for the list that are not answered yet.
-struct Questions {
+/// A socket to one resolver, and the list queries that are not answered yet.
+struct QueryClient {
     socket: UdpSocket,
-    /// Query ids and the times they were sent, oldest first.
-    open: VecDeque<(u16, Micros)>,
+    /// Query ids and the times at which the queries were sent, oldest first.
+    outstanding: VecDeque<(u16, Micros)>,
 }
 
-impl Questions {
-    async fn to(server: SocketAddr) -> Option<Questions> {
-        let own: SocketAddr = if server.is_ipv4() {
+impl QueryClient {
+    async fn connect(server: SocketAddr) -> Option<QueryClient> {
+        let local: SocketAddr = if server.is_ipv4() {
             (Ipv4Addr::UNSPECIFIED, 0).into()
         } else {
             (Ipv6Addr::UNSPECIFIED, 0).into()
         };
-        let socket = UdpSocket::bind(own).await.ok()?;
+        let socket = UdpSocket::bind(local).await.ok()?;
         socket.connect(server).await.ok()?;
-        Some(Questions { socket, open: VecDeque::new() })
+        Some(QueryClient { socket, outstanding: VecDeque::new() })
     }
 
-    /// Queries the list and reports answers until the newest query is answered, or until `next`; `None` if the socket
-    /// failed.
-    async fn ask(
+    /// Sends a query for the list and passes the lists in answers to `handle_list`, until the newest query is answered
+    /// or `deadline` is reached. Returns `None` if the socket failed.
+    async fn query_list(
         &mut self,
         service: &Service,
-        next: Instant,
-        mut take: impl FnMut(Micros, (Option<u32>, Vec<ListedServer>)),
+        deadline: Instant,
+        mut handle_list: impl FnMut(Micros, (Option<u32>, Vec<ListedServer>)),
     ) -> Option<()> {
         let (name, kind) = match service {
             Service::Srv(name) => (name, RecordType::SRV),
             Service::DnsSd(name) => (name, RecordType::PTR),
         };
         let (newest, bytes) = build_query(name, kind).ok()?;
-        if self.open.len() >= MAX_OUTSTANDING {
-            self.open.pop_front();
+        if self.outstanding.len() >= MAX_OUTSTANDING {
+            self.outstanding.pop_front();
         }
-        self.open.push_back((newest, clock::now()));
+        self.outstanding.push_back((newest, clock::now()));
         if self.socket.send(&bytes).await.is_err() {
-            // What an earlier question met is told to the next one, which has not gone out then.
+            // A connected UDP socket reports the ICMP error of an earlier query on the next send, which then sends
+            // nothing. Hence the second try.
             self.socket.send(&bytes).await.ok()?;
         }
         let mut answer = vec![0; MAX_ANSWER_BYTES];
         loop {
-            let Ok(Ok(size)) = timeout_at(next, self.socket.recv(&mut answer)).await else { return Some(()) };
+            let Ok(Ok(size)) = timeout_at(deadline, self.socket.recv(&mut answer)).await else {
+                return Some(());
+            };
             let mut records = Records::default();
-            let Some(place) = self.open.iter().position(|(id, _)| records.read(*id, &answer[..size])) else {
+            let Some(index) = self.outstanding.iter().position(|(id, _)| records.read(*id, &answer[..size]))
+            else {
                 continue;
             };
-            // What was asked before this one and is answered after it may be older: lists without numbers would go back.
-            let Some((id, asked)) = self.open.drain(..=place).next_back() else { continue };
-            if self.complete(service, &mut records).await.is_some() {
-                take(asked, (records.serial, records.servers()));
+            // Queries sent before this one are dropped: an answer to them that arrives later may contain an older list,
+            // and without versions the list would go back to it.
+            let Some((id, requested_at)) = self.outstanding.drain(..=index).next_back() else { continue };
+            if self.query_missing_records(service, &mut records).await.is_some() {
+                handle_list(requested_at, (records.serial, records.servers()));
             }
             if id == newest {
                 return Some(());
@@ -184,33 +189,39 @@
         }
     }
 
-    /// Queries the records that an answer did not include.
-    async fn complete(&self, service: &Service, records: &mut Records) -> Option<()> {
+    /// Queries the records that an answer did not include. Returns `None` if one of them was not received.
+    async fn query_missing_records(&self, service: &Service, records: &mut Records) -> Option<()> {
         if matches!(service, Service::DnsSd(_)) {
             for instance in records.instances.clone() {
                 if !records.has_service(&instance) {
-                    exchange(&self.socket, &instance.to_ascii(), RecordType::SRV, records).await?;
-                    exchange(&self.socket, &instance.to_ascii(), RecordType::TXT, records).await?;
+                    query_records(&self.socket, &instance.to_ascii(), RecordType::SRV, records).await?;
+                    query_records(&self.socket, &instance.to_ascii(), RecordType::TXT, records).await?;
                 }
             }
         }
         for host in records.hosts_without_txt() {
-            exchange(&self.socket, &host.to_ascii(), RecordType::TXT, records).await?;
+            query_records(&self.socket, &host.to_ascii(), RecordType::TXT, records).await?;
         }
         for host in records.hosts_without_address() {
-            exchange(&self.socket, &host.to_ascii(), RecordType::A, records).await?;
+            query_records(&self.socket, &host.to_ascii(), RecordType::A, records).await?;
         }
         Some(())
     }
 }
 
-async fn exchange(socket: &UdpSocket, name: &str, kind: RecordType, records: &mut Records) -> Option<()> {
+/// Sends one query and collects the records of its answer. Returns `None` if no answer came in time.
+async fn query_records(
+    socket: &UdpSocket,
+    name: &str,
+    kind: RecordType,
+    records: &mut Records,
+) -> Option<()> {
     let (id, bytes) = build_query(name, kind).ok()?;
-    let until = Instant::now() + ANSWER_TIMEOUT;
+    let deadline = Instant::now() + ANSWER_TIMEOUT;
     socket.send(&bytes).await.ok()?;
     let mut answer = vec![0; MAX_ANSWER_BYTES];
     loop {
-        let size = timeout_at(until, socket.recv(&mut answer)).await.ok()?.ok()?;
+        let size = timeout_at(deadline, socket.recv(&mut answer)).await.ok()?.ok()?;
         if records.read(id, &answer[..size]) {
             return Some(());
         }
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -646,7 +646,7 @@
     let silent = text.lines().find_map(|l| l.strip_prefix("edge_lb_list_silent_seconds ")).unwrap();
     assert!(silent.parse::<u32>().unwrap() >= 5, "{silent}");
     resolver.slip(None);
-    program.logged("tells the list again");
+    program.logged("answers with a list again");
     assert!(ask(door, "GET", "/control/counters").1.contains("edge_lb_list_silent_seconds 0"));
 }
 
