--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -1,4 +1,4 @@
-//! Stories on the platform's protocol: the real program between scripted callers, setup servers and a resolver.
+//! Tests of the platform's protocol: the real program between scripted callers, setup servers and a resolver.
 
 mod peers;
 
@@ -11,130 +11,135 @@
 
 const TAG: &str = "9b1f03aa5c7e2d41";
 
-/// A gatekeeper with one server behind it.
-fn one_server() -> (TcpListener, Program, SocketAddr) {
-    let (server, at) = listen();
-    let (program, gate) = Program::platform(&Resolver::new(vec![line("s-1", at, 0)]), settings());
-    (server, program, gate)
+/// Starts a gatekeeper with one setup server. Returns the server's listener, the program and the gatekeeper's
+/// address.
+fn gatekeeper_with_server() -> (TcpListener, Program, SocketAddr) {
+    let (listener, server_address) = listen();
+    let (program, gatekeeper) =
+        Program::platform(&Resolver::new(vec![line("s-1", server_address, 0)]), settings());
+    (listener, program, gatekeeper)
 }
 
-/// The same, with its connection to the server, and a caller.
-fn one_call() -> (TcpListener, Program, Lines, Lines) {
-    let (server, program, gate) = one_server();
-    let far = Lines::accept(&server);
-    (server, program, far, Lines::connect(gate))
+/// Starts a gatekeeper with one setup server and connects a caller. Returns the server's listener, the program, the
+/// gatekeeper's connection to the server, and the caller's connection.
+fn gatekeeper_with_caller() -> (TcpListener, Program, Lines, Lines) {
+    let (listener, program, gatekeeper) = gatekeeper_with_server();
+    let server = Lines::accept(&listener);
+    (listener, program, server, Lines::connect(gatekeeper))
 }
 
 #[test]
-fn a_call_stands_and_is_released_towards_its_caller() {
-    let (server, at) = listen();
-    let (_program, gate) = Program::platform(&Resolver::new(vec![line("s-1", at, 2)]), settings());
-    let mut far = Lines::accept(&server);
-    let mut caller = Lines::connect(gate);
-    let odd = r#""v=0\r\né \u00e9 \ud83d\ude00\r\n""#;
+fn call_is_established_and_released_by_its_server() {
+    let (listener, server_address) = listen();
+    let (_program, gatekeeper) =
+        Program::platform(&Resolver::new(vec![line("s-1", server_address, 2)]), settings());
+    let mut server = Lines::accept(&listener);
+    let mut caller = Lines::connect(gatekeeper);
+    let escaped_blob = r#""v=0\r\né \u00e9 \ud83d\ude00\r\n""#;
     caller.raw(
         format!(
             "{{\"verb\":\"START\",\"tag\":\"{TAG}\",\"opts\":{{\"class\":\"check-setup\",\"left\":1500,\
-             \"key\":\"7f3a9c21e0b4d655\",\"extras\":\"dest:2;width:1;via:-1\"}},\"blob\":{odd}}}\n"
+             \"key\":\"7f3a9c21e0b4d655\",\"extras\":\"dest:2;width:1;via:-1\"}},\"blob\":{escaped_blob}}}\n"
         )
         .as_bytes(),
     );
-    let text = far.text();
-    assert!(text.contains(odd), "the description passes on to the letter: {text}");
+    let text = server.text();
+    assert!(text.contains(escaped_blob), "the description is passed on unchanged: {text}");
     let start: serde_json::Value = serde_json::from_str(&text).unwrap();
     assert_eq!((&start["verb"], &start["tag"]), (&json!("START"), &json!(TAG)));
     assert_eq!(start["opts"]["class"], "check-setup");
     assert_eq!(start["opts"]["key"], "7f3a9c21e0b4d655");
     let left: u64 = start["opts"]["left"].as_str().unwrap().parse().unwrap();
     assert!((1000..=1500).contains(&left), "{left}");
-    far.say(json!({"verb": "PENDING", "tag": TAG, "opts": {}}));
-    far.started(&start["tag"]);
+    server.say(json!({"verb": "PENDING", "tag": TAG, "opts": {}}));
+    server.started(&start["tag"]);
     assert_eq!(caller.expect("STARTED")["blob"], "answer");
-    far.finish(&start["tag"], 16, json!({"load": "x0:12;x1:40;queue:3"}));
-    let over = caller.expect("FINISH");
-    assert_eq!((&over["tag"], &over["rc"]), (&json!(TAG), &json!(16)));
-    far.expect("FINISHED");
+    server.finish(&start["tag"], 16, json!({"load": "x0:12;x1:40;queue:3"}));
+    let release = caller.expect("FINISH");
+    assert_eq!((&release["tag"], &release["rc"]), (&json!(TAG), &json!(16)));
+    server.expect("FINISHED");
     caller.nothing_but_an_echo();
 }
 
-/// No connection owns a call that stands: the caller's release comes on another one.
+/// An established call is not bound to a connection: the caller may release it on another one.
 #[test]
-fn a_caller_ends_its_call_on_another_connection() {
-    let (server, _program, gate) = one_server();
-    let mut far = Lines::accept(&server);
-    let (mut first, mut second) = (Lines::connect(gate), Lines::connect(gate));
+fn caller_releases_its_call_on_another_connection() {
+    let (listener, _program, gatekeeper) = gatekeeper_with_server();
+    let mut server = Lines::accept(&listener);
+    let (mut first, mut second) = (Lines::connect(gatekeeper), Lines::connect(gatekeeper));
     first.start(TAG, 3000, 0);
-    let start = far.expect("START");
-    far.started(&start["tag"]);
+    let start = server.expect("START");
+    server.started(&start["tag"]);
     first.expect("STARTED");
     drop(first);
     second.finish(&json!(TAG), 16, json!({}));
     second.expect("FINISHED");
-    assert_eq!(far.expect("FINISH")["rc"], 16);
+    assert_eq!(server.expect("FINISH")["rc"], 16);
 }
 
-/// The release goes to the caller on whatever connection there is, if need be the next one.
+/// A release is sent to the caller on any of its connections. If there is none, it is sent on the next one.
 #[test]
-fn a_release_waits_for_the_callers_next_connection() {
-    let (server, at) = listen();
-    let resolver = Resolver::new(vec![line("s-1", at, 0)]);
-    let (_program, gate) = Program::platform(&resolver, settings());
-    let mut far = Lines::accept(&server);
-    let mut caller = Lines::connect(gate);
+fn release_waits_for_the_callers_next_connection() {
+    let (listener, server_address) = listen();
+    let resolver = Resolver::new(vec![line("s-1", server_address, 0)]);
+    let (_program, gatekeeper) = Program::platform(&resolver, settings());
+    let mut server = Lines::accept(&listener);
+    let mut caller = Lines::connect(gatekeeper);
     caller.start(TAG, 3000, 0);
-    let start = far.expect("START");
-    far.started(&start["tag"]);
+    let start = server.expect("START");
+    server.started(&start["tag"]);
     caller.expect("STARTED");
     drop(caller);
-    resolver.asked_anew(); // by then the program has seen the connection's end
-    far.finish(&start["tag"], 16, json!({}));
-    far.expect("FINISHED");
-    let mut next = Lines::connect(gate);
-    let over = next.expect("FINISH");
-    assert_eq!((&over["tag"], &over["rc"]), (&json!(TAG), &json!(16)));
-}
-
-/// A call that stands, with its server and its caller.
-fn one_standing() -> (TcpListener, Program, SocketAddr, Lines, Lines) {
-    let (server, program, gate) = one_server();
-    let (mut far, mut caller) = (Lines::accept(&server), Lines::connect(gate));
+    resolver.asked_anew(); // the program has handled the end of the connection by then
+    server.finish(&start["tag"], 16, json!({}));
+    server.expect("FINISHED");
+    let mut next = Lines::connect(gatekeeper);
+    let release = next.expect("FINISH");
+    assert_eq!((&release["tag"], &release["rc"]), (&json!(TAG), &json!(16)));
+}
+
+/// Starts a gatekeeper and establishes a call. Returns the server's listener, the program, the gatekeeper's address,
+/// its connection to the server, and the caller's connection.
+fn established_call() -> (TcpListener, Program, SocketAddr, Lines, Lines) {
+    let (listener, program, gatekeeper) = gatekeeper_with_server();
+    let (mut server, mut caller) = (Lines::accept(&listener), Lines::connect(gatekeeper));
     caller.start(TAG, 3000, 0);
-    let start = far.expect("START");
-    far.started(&start["tag"]);
+    let start = server.expect("START");
+    server.started(&start["tag"]);
     caller.expect("STARTED");
-    (server, program, gate, far, caller)
+    (listener, program, gatekeeper, server, caller)
 }
 
-/// A release that crosses the caller's close was told to nobody: it goes out again on another connection. One that
-/// was heard does not.
+/// A release that the caller has not confirmed before its connection closed is sent again on another connection. A
+/// confirmed release is not.
 #[rstest]
-#[case::unheard(false)]
-#[case::heard(true)]
-fn a_release_is_owed_until_it_is_heard(#[case] hears: bool) {
-    let (_server, _program, gate, mut far, mut caller) = one_standing();
-    far.finish(&json!(TAG), 16, json!({}));
-    far.expect("FINISHED"); // by now it is on its way to the caller
-    if hears {
+#[case::unconfirmed(false)]
+#[case::confirmed(true)]
+fn release_is_repeated_until_its_caller_confirms_it(#[case] confirmed: bool) {
+    let (_listener, _program, gatekeeper, mut server, mut caller) = established_call();
+    server.finish(&json!(TAG), 16, json!({}));
+    server.expect("FINISHED"); // the release is on its way to the caller by now
+    if confirmed {
         caller.expect("FINISH");
         caller.say(json!({"verb": "FINISHED", "tag": TAG, "opts": {}}));
         caller.nothing_but_an_echo();
     }
     drop(caller);
-    let mut next = Lines::connect(gate);
-    if !hears {
-        let over = next.expect("FINISH");
-        assert_eq!((&over["tag"], &over["rc"]), (&json!(TAG), &json!(16)));
+    let mut next = Lines::connect(gatekeeper);
+    if !confirmed {
+        let release = next.expect("FINISH");
+        assert_eq!((&release["tag"], &release["rc"]), (&json!(TAG), &json!(16)));
     }
     next.nothing_but_an_echo();
 }
 
-/// A release for which no caller comes is in the log, with what happened to its call.
+/// A release that no caller confirms is logged with the steps of its call.
 #[test]
-fn unconfirmed_release_leaves_its_steps_in_the_log() {
-    let (_server, mut program, _gate, mut far, caller) = one_standing();
+fn unconfirmed_release_is_logged_with_its_steps() {
+    let (_listener, mut program, _gatekeeper, mut server, caller) = established_call();
     drop(caller);
-    far.finish(&json!(TAG), 16, json!({}));
-    let told = program.logged("no caller came to hear its end");
+    server.finish(&json!(TAG), 16, json!({}));
+    let logged = program.logged("no caller came to hear its end");
     for step in [
         TAG,
         "RequestedOn(",
@@ -144,329 +149,339 @@
         "ReleasedToCaller(Completed)",
         "ReleaseExpired",
     ] {
-        assert!(told.contains(step), "{step} is not in {told}");
+        assert!(logged.contains(step), "{step} is not in {logged}");
     }
 }
 
-/// A release that the server has not said it heard, on a connection that ended, is said again on the next.
+/// A release that the server has not confirmed before its connection ended is sent again on the next connection.
 #[rstest]
-#[case::unheard(false)]
-#[case::heard(true)]
-fn a_server_is_told_of_a_release_until_it_hears(#[case] hears: bool) {
-    let (server, _program, _gate, mut far, mut caller) = one_standing();
+#[case::unconfirmed(false)]
+#[case::confirmed(true)]
+fn release_is_repeated_until_its_server_confirms_it(#[case] confirmed: bool) {
+    let (listener, _program, _gatekeeper, mut server, mut caller) = established_call();
     caller.finish(&json!(TAG), 16, json!({}));
     caller.expect("FINISHED");
-    assert_eq!(far.expect("FINISH")["rc"], 16);
-    if hears {
-        far.say(json!({"verb": "FINISHED", "tag": TAG, "opts": {}}));
+    assert_eq!(server.expect("FINISH")["rc"], 16);
+    if confirmed {
+        server.say(json!({"verb": "FINISHED", "tag": TAG, "opts": {}}));
     }
-    drop(far);
-    let mut next = Lines::accept(&server);
-    if !hears {
-        let again = next.expect("FINISH");
-        assert_eq!((&again["tag"], &again["rc"]), (&json!(TAG), &json!(16)));
+    drop(server);
+    let mut next = Lines::accept(&listener);
+    if !confirmed {
+        let retry = next.expect("FINISH");
+        assert_eq!((&retry["tag"], &retry["rc"]), (&json!(TAG), &json!(16)));
     }
     caller.start("00000000000000a1", 3000, 0);
     assert_eq!(next.expect("START")["tag"], "00000000000000a1");
 }
 
-/// A server that does not answer one set-up, though it answers the next: the first is called off and goes out again on
-/// a second connection, for its old answer could not be told from a new one's.
-fn on_two_connections(server: &TcpListener, far: &mut Lines, caller: &mut Lines) -> Lines {
+/// Makes the gatekeeper open a second connection: the server leaves one set-up unanswered and answers the next. The
+/// first one is cancelled and sent again on a new connection, because on the old one a late answer to the first
+/// attempt could not be distinguished from an answer to the second.
+fn open_second_connection(listener: &TcpListener, server: &mut Lines, caller: &mut Lines) -> Lines {
     caller.start("00000000000000b2", 9000, 0);
-    assert_eq!(far.expect("START")["tag"], "00000000000000b2");
+    assert_eq!(server.expect("START")["tag"], "00000000000000b2");
     caller.start("00000000000000c3", 9000, 0);
-    let passing = far.expect("START");
-    far.started(&passing["tag"]);
-    assert_eq!(caller.expect("STARTED")["tag"], passing["tag"]);
-    server.set_nonblocking(true).unwrap();
+    let answered_start = server.expect("START");
+    server.started(&answered_start["tag"]);
+    assert_eq!(caller.expect("STARTED")["tag"], answered_start["tag"]);
+    listener.set_nonblocking(true).unwrap();
     let mut second = eventually("a second connection", || {
-        far.raw(b"{\"verb\":\"LOAD\",\"opts\":{\"load\":\"x0:9;x1:40;latency_ms:3\"}}\n");
-        Lines::accept_now(server)
+        server.raw(b"{\"verb\":\"LOAD\",\"opts\":{\"load\":\"x0:9;x1:40;latency_ms:3\"}}\n");
+        Lines::accept_now(listener)
     });
-    assert_eq!(far.expect("FINISH")["tag"], "00000000000000b2", "called off");
-    let again = second.expect("START");
-    assert_eq!(again["tag"], "00000000000000b2");
-    second.started(&again["tag"]);
+    assert_eq!(server.expect("FINISH")["tag"], "00000000000000b2", "the unanswered set-up is cancelled");
+    let retry = second.expect("START");
+    assert_eq!(retry["tag"], "00000000000000b2");
+    second.started(&retry["tag"]);
     caller.expect("STARTED");
     second
 }
 
-/// What ends a call comes where the call was set up, so that connection is heard on though a newer one is up.
+/// A server releases a call on the connection on which it was set up, so the gatekeeper keeps reading that connection
+/// while a newer one is open.
 #[test]
-fn a_newer_connection_does_not_close_the_one_before() {
-    let (server, _program, _gate, mut far, mut caller) = one_standing();
-    let _second = on_two_connections(&server, &mut far, &mut caller);
-    far.finish(&json!(TAG), 16, json!({}));
+fn newer_connection_does_not_close_the_previous_one() {
+    let (listener, _program, _gatekeeper, mut server, mut caller) = established_call();
+    let _second = open_second_connection(&listener, &mut server, &mut caller);
+    server.finish(&json!(TAG), 16, json!({}));
     assert_eq!(caller.expect("FINISH")["tag"], TAG);
-    far.expect("FINISHED");
+    server.expect("FINISHED");
 }
 
-/// A connection that ends may take the end of a call with it, whose server says it again on the next connection that
-/// is opened, and only there: one is opened, though another is up.
+/// A release may be lost when a connection ends. The server repeats it only on the next connection that is opened, so
+/// the gatekeeper opens one even though another is open.
 #[test]
-fn what_an_ended_connection_took_with_it_is_heard_on_a_new_one() {
-    let (server, _program, _gate, mut far, mut caller) = one_standing();
-    let _second = on_two_connections(&server, &mut far, &mut caller);
-    far.raw(b"{\"verb\":\"FINISH\",\"tag\":\""); // it breaks off in the middle of the call's end
-    drop(far);
-    let ended = Instant::now();
-    let mut third = Lines::accept(&server);
+fn release_lost_with_its_connection_arrives_on_a_new_one() {
+    let (listener, _program, _gatekeeper, mut server, mut caller) = established_call();
+    let _second = open_second_connection(&listener, &mut server, &mut caller);
+    server.raw(b"{\"verb\":\"FINISH\",\"tag\":\""); // the connection ends in the middle of the release
+    drop(server);
+    let ended_at = Instant::now();
+    let mut third = Lines::accept(&listener);
     third.finish(&json!(TAG), 16, json!({}));
     assert_eq!(caller.expect("FINISH")["tag"], TAG);
-    assert!(ended.elapsed() < Duration::from_secs(1), "{:?}", ended.elapsed());
+    assert!(ended_at.elapsed() < Duration::from_secs(1), "{:?}", ended_at.elapsed());
 }
 
-/// A refused connection proves that nothing ran there: the call goes on to another server.
+/// A refused connection proves that the set-up was not processed: it is sent to another server.
 #[test]
-fn a_server_that_refuses_connections_costs_no_call() {
-    let (server, at) = listen();
+fn set_up_is_rerouted_when_a_server_refuses_connections() {
+    let (listener, server_address) = listen();
     let (closed, nowhere) = listen();
     drop(closed);
-    let list = vec![line("s-1", nowhere, 0), line("s-2", at, 1)];
-    let (_program, gate) = Program::platform(&Resolver::new(list), settings());
-    let mut far = Lines::accept(&server);
-    let mut caller = Lines::connect(gate);
+    let list = vec![line("s-1", nowhere, 0), line("s-2", server_address, 1)];
+    let (_program, gatekeeper) = Program::platform(&Resolver::new(list), settings());
+    let mut server = Lines::accept(&listener);
+    let mut caller = Lines::connect(gatekeeper);
     caller.start(TAG, 3000, 0);
-    let start = far.expect("START");
-    far.started(&start["tag"]);
+    let start = server.expect("START");
+    server.started(&start["tag"]);
     caller.expect("STARTED");
 }
 
-/// What is known of a server is too old to send by: it is probed, and its answer lets the call go there.
+/// Without a recent load report a server gets no set-up. It is probed, and its answer allows the set-up to be sent.
 #[test]
-fn a_server_unheard_of_is_probed_first() {
-    let (server, at) = listen();
-    let mut set = settings();
-    set["ceilings"]["probes"] = json!(true);
-    let (_program, gate) = Program::platform(&Resolver::new(vec![line("s-1", at, 0)]), set);
-    let mut far = Lines::accept(&server);
-    let mut caller = Lines::connect(gate);
+fn server_without_a_recent_report_is_probed_first() {
+    let (listener, server_address) = listen();
+    let mut settings = settings();
+    settings["ceilings"]["probes"] = json!(true);
+    let (_program, gatekeeper) =
+        Program::platform(&Resolver::new(vec![line("s-1", server_address, 0)]), settings);
+    let mut server = Lines::accept(&listener);
+    let mut caller = Lines::connect(gatekeeper);
     caller.start(TAG, 9000, 0);
-    let test = far.expect("ECHO");
-    assert_eq!(test["rc"], 0);
-    far.say(
-        json!({"verb": "ECHOED", "tag": test["tag"], "opts": {"load": "x0:9;x1:40;latency_ms:3"}, "rc": 1}),
+    let probe = server.expect("ECHO");
+    assert_eq!(probe["rc"], 0);
+    server.say(
+        json!({"verb": "ECHOED", "tag": probe["tag"], "opts": {"load": "x0:9;x1:40;latency_ms:3"}, "rc": 1}),
     );
-    let start = far.expect("START");
-    far.started(&start["tag"]);
+    let start = server.expect("START");
+    server.started(&start["tag"]);
     caller.expect("STARTED");
 }
 
-/// A call that is given up on is answered at once, with the time to stay away; it is not held to its deadline.
+/// A set-up for which no attempt is left is refused at once with a retry-after time, not at its deadline.
 #[test]
-fn a_refusal_comes_at_once_and_says_when_to_come_back() {
-    let (server, at) = listen();
-    let mut set = settings();
-    set["ceilings"]["max-attempts"] = json!(1);
-    let (_program, gate) = Program::platform(&Resolver::new(vec![line("s-1", at, 0)]), set);
-    let mut far = Lines::accept(&server);
-    let mut caller = Lines::connect(gate);
-    let asked = Instant::now();
+fn refusal_is_immediate_and_has_a_retry_after_time() {
+    let (listener, server_address) = listen();
+    let mut settings = settings();
+    settings["ceilings"]["max-attempts"] = json!(1);
+    let (_program, gatekeeper) =
+        Program::platform(&Resolver::new(vec![line("s-1", server_address, 0)]), settings);
+    let mut server = Lines::accept(&listener);
+    let mut caller = Lines::connect(gatekeeper);
+    let sent_at = Instant::now();
     caller.start(TAG, 9000, 0);
-    let start = far.expect("START");
-    far.finish(&start["tag"], 34, json!({"note": "queue_long", "load": "latency_ms:2100"}));
+    let start = server.expect("START");
+    server.finish(&start["tag"], 34, json!({"note": "queue_long", "load": "latency_ms:2100"}));
     let refused = caller.expect("FINISH");
     assert_eq!((&refused["rc"], &refused["opts"]["wait"]), (&json!(34), &json!("2000")));
-    assert!(asked.elapsed() < Duration::from_secs(8));
+    assert!(sent_at.elapsed() < Duration::from_secs(8));
     caller.nothing_but_an_echo();
 }
 
-/// The caller's time runs out: one failure for it, and the set-up is given up at the server. What the server
-/// still says is released there and reaches nobody.
+/// A set-up times out: its caller gets one failure, and the set-up is cancelled at the server. A late answer of the
+/// server is released there and not relayed.
 #[test]
-fn a_late_answer_is_released_and_never_relayed() {
-    let (_server, _program, mut far, mut caller) = one_call();
+fn late_answer_is_released_and_not_relayed() {
+    let (_listener, _program, mut server, mut caller) = gatekeeper_with_caller();
     caller.start(TAG, 1500, 0);
-    let start = far.expect("START");
-    assert_eq!(far.expect("FINISH")["rc"], 16);
+    let start = server.expect("START");
+    assert_eq!(server.expect("FINISH")["rc"], 16);
     assert_eq!(caller.expect("FINISH")["rc"], 41);
-    far.started(&start["tag"]);
-    assert_eq!(far.expect("FINISH")["rc"], 16);
+    server.started(&start["tag"]);
+    assert_eq!(server.expect("FINISH")["rc"], 16);
     caller.nothing_but_an_echo();
 }
 
-/// A caller that gives up, or whose connection ends, is owed nothing; the server hears of it.
+/// A set-up that its caller cancels, or whose caller disconnects, is cancelled at the server. The caller gets at most
+/// a confirmation.
 #[rstest]
-#[case::says_so(true)]
+#[case::cancels(true)]
 #[case::disconnects(false)]
-fn a_set_up_given_up_by_its_caller_is_given_up_at_the_server(#[case] says: bool) {
-    let (_server, _program, mut far, mut caller) = one_call();
+fn set_up_cancelled_by_its_caller_is_cancelled_at_the_server(#[case] cancels: bool) {
+    let (_listener, _program, mut server, mut caller) = gatekeeper_with_caller();
     caller.start(TAG, 9000, 0);
-    far.expect("START");
-    if says {
+    server.expect("START");
+    if cancels {
         caller.finish(&json!(TAG), 16, json!({}));
         caller.expect("FINISHED");
         caller.nothing_but_an_echo();
     } else {
         drop(caller);
     }
-    assert_eq!(far.expect("FINISH")["rc"], 16);
+    assert_eq!(server.expect("FINISH")["rc"], 16);
 }
 
-/// A set-up that was cut is not sent again before the release wait is over.
+/// A set-up that was cut is not sent again before the release wait has elapsed.
 #[test]
-fn a_cut_set_up_goes_out_again_after_the_release_wait() {
-    let (server, at) = listen();
-    let (other, beside) = listen();
-    let list = vec![line("s-1", at, 0), line("s-2", beside, 1)];
-    let (_program, gate) = Program::platform(&Resolver::new(list), settings());
-    let mut far = Lines::accept(&server);
-    let mut next = Lines::accept(&other);
-    let mut caller = Lines::connect(gate);
+fn cut_set_up_is_retried_after_the_release_wait() {
+    let (listener, server_address) = listen();
+    let (other_listener, other_address) = listen();
+    let list = vec![line("s-1", server_address, 0), line("s-2", other_address, 1)];
+    let (_program, gatekeeper) = Program::platform(&Resolver::new(list), settings());
+    let mut server = Lines::accept(&listener);
+    let mut next = Lines::accept(&other_listener);
+    let mut caller = Lines::connect(gatekeeper);
     caller.start(TAG, 9000, 0);
-    let start = far.expect("START");
-    let cut = Instant::now();
-    far.finish(&start["tag"], 41, json!({}));
-    let again = next.expect("START");
-    assert!(cut.elapsed() >= Duration::from_millis(500), "{:?}", cut.elapsed());
-    assert_eq!(again["tag"], start["tag"]);
-    next.started(&again["tag"]);
+    let start = server.expect("START");
+    let ended_at = Instant::now();
+    server.finish(&start["tag"], 41, json!({}));
+    let retry = next.expect("START");
+    assert!(ended_at.elapsed() >= Duration::from_millis(500), "{:?}", ended_at.elapsed());
+    assert_eq!(retry["tag"], start["tag"]);
+    next.started(&retry["tag"]);
     caller.expect("STARTED");
 }
 
-/// An answer that stops short leaves nothing to read behind it: the connection ends and the call goes elsewhere, with
-/// its aim still within reach.
+/// After a truncated answer no later message on the connection can be read: the connection is closed, and the set-up
+/// is sent to another server early enough to meet its aim.
 #[test]
-fn half_an_answer_ends_its_connection() {
-    let (server, at) = listen();
-    let (other, beside) = listen();
-    let list = vec![line("s-1", at, 0), line("s-2", beside, 1)];
-    let (_program, gate) = Program::platform(&Resolver::new(list), settings());
-    let mut far = Lines::accept(&server);
-    let mut next = Lines::accept(&other);
-    let mut caller = Lines::connect(gate);
+fn truncated_answer_closes_its_connection() {
+    let (listener, server_address) = listen();
+    let (other_listener, other_address) = listen();
+    let list = vec![line("s-1", server_address, 0), line("s-2", other_address, 1)];
+    let (_program, gatekeeper) = Program::platform(&Resolver::new(list), settings());
+    let mut server = Lines::accept(&listener);
+    let mut next = Lines::accept(&other_listener);
+    let mut caller = Lines::connect(gatekeeper);
     caller.start(TAG, 9000, 0);
-    let start = far.expect("START");
-    let cut = Instant::now();
-    far.raw(b"{\"verb\":\"STARTED\",\"tag\":\"");
-    assert_eq!(far.text(), "", "the connection has ended");
-    let again = next.expect("START");
-    assert!(cut.elapsed() < Duration::from_secs(6), "{:?}", cut.elapsed());
-    assert_eq!(again["tag"], start["tag"]);
-    next.started(&again["tag"]);
+    let start = server.expect("START");
+    let ended_at = Instant::now();
+    server.raw(b"{\"verb\":\"STARTED\",\"tag\":\"");
+    assert_eq!(server.text(), "", "the connection is closed");
+    let retry = next.expect("START");
+    assert!(ended_at.elapsed() < Duration::from_secs(6), "{:?}", ended_at.elapsed());
+    assert_eq!(retry["tag"], start["tag"]);
+    next.started(&retry["tag"]);
     caller.expect("STARTED");
 }
 
-/// A process that has ended has cut its calls: connections reset, new ones refused.
+/// A server process that has ended has cut its calls: its connections are closed, and new ones are refused.
 #[test]
-fn a_dead_servers_calls_are_released_towards_their_callers() {
-    let (server, _program, mut far, mut caller) = one_call();
+fn calls_of_a_dead_server_are_released_to_their_callers() {
+    let (listener, _program, mut server, mut caller) = gatekeeper_with_caller();
     caller.start(TAG, 3000, 0);
-    let start = far.expect("START");
-    far.started(&start["tag"]);
+    let start = server.expect("START");
+    server.started(&start["tag"]);
     caller.expect("STARTED");
+    drop(listener);
     drop(server);
-    drop(far);
     assert_eq!(caller.expect("FINISH")["rc"], 41);
 }
 
-/// A server that drains may refuse connections while its calls go on: they are not over before it says so.
+/// A draining server may refuse connections while its calls continue: they end only when the server releases them.
 #[test]
-fn a_refused_connection_ends_no_call_while_another_is_up() {
-    let (server, mut program, _gate, mut far, mut caller) = one_standing();
-    drop(server);
-    // A set-up that is called off goes out again on a new connection, which is refused.
+fn refused_connection_ends_no_call_while_another_is_open() {
+    let (listener, mut program, _gatekeeper, mut server, mut caller) = established_call();
+    drop(listener);
+    // An unanswered set-up is cancelled and sent again on a new connection, which is refused.
     caller.start("00000000000000b2", 9000, 0);
-    far.expect("START");
+    server.expect("START");
     caller.start("00000000000000c3", 9000, 0);
-    let passing = far.expect("START");
-    far.started(&passing["tag"]);
+    let answered_start = server.expect("START");
+    server.started(&answered_start["tag"]);
     program.logged("dial failed");
-    far.finish(&json!(TAG), 16, json!({}));
-    let over = eventually("the end of the call", || Some(caller.hear()).filter(|said| said["tag"] == TAG));
-    assert_eq!((&over["verb"], &over["rc"]), (&json!("FINISH"), &json!(16)), "it came to its own end");
+    server.finish(&json!(TAG), 16, json!({}));
+    let release =
+        eventually("the end of the call", || Some(caller.hear()).filter(|message| message["tag"] == TAG));
+    assert_eq!(
+        (&release["verb"], &release["rc"]),
+        (&json!("FINISH"), &json!(16)),
+        "the call was released by its server"
+    );
 }
 
-/// A server that is out of reach may have ended any call there: its callers hear of an end within 8 s, and the
-/// server is told as soon as it can be.
+/// An unreachable server may have ended any of its calls: their callers get a release within 8 s, and the server gets
+/// one as soon as it is reachable.
 #[test]
-fn calls_at_a_server_out_of_reach_are_over_in_time() {
-    let (server, _program, mut far, mut caller) = one_call();
+fn calls_at_an_unreachable_server_are_released_in_time() {
+    let (listener, _program, mut server, mut caller) = gatekeeper_with_caller();
     caller.start(TAG, 3000, 0);
-    let start = far.expect("START");
-    let last_heard = Instant::now();
-    far.started(&start["tag"]);
+    let start = server.expect("START");
+    let last_message_at = Instant::now();
+    server.started(&start["tag"]);
     caller.expect("STARTED");
-    far.expect("ECHO"); // asked for a sign of life; gives none
+    server.expect("ECHO"); // a health check, which stays unanswered
     assert_eq!(caller.expect("FINISH")["rc"], 41);
-    assert!(last_heard.elapsed() < Duration::from_secs(8), "{:?}", last_heard.elapsed());
-    assert!(last_heard.elapsed() > Duration::from_secs(5), "{:?}", last_heard.elapsed());
-    // Connections that went quiet were replaced; the release comes on the one that is in use by then.
+    assert!(last_message_at.elapsed() < Duration::from_secs(8), "{:?}", last_message_at.elapsed());
+    assert!(last_message_at.elapsed() > Duration::from_secs(5), "{:?}", last_message_at.elapsed());
+    // Quiet connections are replaced; the release arrives on the one that is in use by then.
     eventually("the release at the server", || {
-        let mut link = Lines::accept(&server);
-        std::iter::from_fn(|| serde_json::from_str::<serde_json::Value>(&link.text()).ok())
-            .find(|said| said["verb"] == "FINISH" && said["tag"] == TAG)
+        let mut connection = Lines::accept(&listener);
+        std::iter::from_fn(|| serde_json::from_str::<serde_json::Value>(&connection.text()).ok())
+            .find(|message| message["verb"] == "FINISH" && message["tag"] == TAG)
     });
 }
 
-/// After the news that a server drains, and once the window has passed, calls go elsewhere; the resolver's
-/// answers may get lost on the way.
+/// Once a drain is published and the grace period has passed, new calls are sent to other servers, even if some of
+/// the resolver's answers are lost.
 #[test]
-fn a_draining_server_gets_nothing_new() {
-    let (server, at) = listen();
-    let (other, beside) = listen();
-    let resolver = Resolver::new(vec![line("s-1", at, 0), line("s-2", beside, 1)]);
-    let (_program, gate) = Program::platform(&resolver, settings());
-    let mut far = Lines::accept(&server);
-    let mut next = Lines::accept(&other);
-    let mut caller = Lines::connect(gate);
+fn draining_server_gets_no_new_calls() {
+    let (listener, server_address) = listen();
+    let (other_listener, other_address) = listen();
+    let resolver = Resolver::new(vec![line("s-1", server_address, 0), line("s-2", other_address, 1)]);
+    let (_program, gatekeeper) = Program::platform(&resolver, settings());
+    let mut server = Lines::accept(&listener);
+    let mut next = Lines::accept(&other_listener);
+    let mut caller = Lines::connect(gatekeeper);
     caller.start(TAG, 9000, 0);
-    let start = far.expect("START");
+    let start = server.expect("START");
     let serial = resolver.change(2, |list| list[0].draining = true);
-    let told = resolver.told(serial);
-    eventually("the window to close", || (told.elapsed() > Duration::from_millis(250)).then_some(()));
+    let published_at = resolver.told(serial);
+    eventually("the grace period ends", || {
+        (published_at.elapsed() > Duration::from_millis(250)).then_some(())
+    });
     caller.start("00000000000000a1", 9000, 0);
-    let moved = next.expect("START");
-    assert_eq!(moved["tag"], "00000000000000a1");
-    next.started(&moved["tag"]);
+    let rerouted = next.expect("START");
+    assert_eq!(rerouted["tag"], "00000000000000a1");
+    next.started(&rerouted["tag"]);
     caller.expect("STARTED");
-    far.started(&start["tag"]);
-    assert_eq!(caller.expect("STARTED")["tag"], TAG, "what was out before the drain may stand");
-    far.finish(&start["tag"], 16, json!({}));
-    assert_eq!(far.expect("FINISHED")["tag"], TAG, "and it got no other set-up in between");
+    server.started(&start["tag"]);
+    assert_eq!(caller.expect("STARTED")["tag"], TAG, "a set-up sent before the drain may be established");
+    server.finish(&start["tag"], 16, json!({}));
+    assert_eq!(server.expect("FINISHED")["tag"], TAG, "the draining server got no other set-up in between");
 }
 
-/// A replacement may take a gone server's address: it is another server, on another connection.
+/// A new server may take the address of a removed one: it is a different server and gets a new connection.
 #[test]
-fn an_address_that_changes_hands_is_another_server() {
-    let (server, at) = listen();
-    let resolver = Resolver::new(vec![line("s-1", at, 0)]);
-    let (_program, gate) = Program::platform(&resolver, settings());
-    let mut old = Lines::accept(&server);
-    let mut caller = Lines::connect(gate);
+fn reused_address_is_a_different_server() {
+    let (listener, server_address) = listen();
+    let resolver = Resolver::new(vec![line("s-1", server_address, 0)]);
+    let (_program, gatekeeper) = Program::platform(&resolver, settings());
+    let mut old = Lines::accept(&listener);
+    let mut caller = Lines::connect(gatekeeper);
     caller.start(TAG, 9000, 0);
     let start = old.expect("START");
     old.started(&start["tag"]);
     caller.expect("STARTED");
-    resolver.change(0, |list| *list = vec![line("s-9", at, 0)]);
-    assert_eq!(caller.expect("FINISH")["rc"], 41, "what stood at the gone server is cut");
-    let mut new = Lines::accept(&server);
+    resolver.change(0, |list| *list = vec![line("s-9", server_address, 0)]);
+    assert_eq!(caller.expect("FINISH")["rc"], 41, "the call at the removed server is cut");
+    let mut new = Lines::accept(&listener);
     caller.start("00000000000000a2", 9000, 0);
     assert_eq!(new.expect("START")["tag"], "00000000000000a2");
 }
 
 #[rstest]
 #[case::no_left(r#""opts":{"class":"check-setup","key":"01"},"blob":"d""#)]
-#[case::left_is_no_number(r#""opts":{"class":"check-setup","key":"01","left":"soon"},"blob":"d""#)]
+#[case::left_is_not_a_number(r#""opts":{"class":"check-setup","key":"01","left":"soon"},"blob":"d""#)]
 #[case::left_is_negative(r#""opts":{"class":"check-setup","key":"01","left":"-5"},"blob":"d""#)]
-#[case::left_is_endless(r#""opts":{"class":"check-setup","key":"01","left":1e300},"blob":"d""#)]
+#[case::left_is_out_of_range(r#""opts":{"class":"check-setup","key":"01","left":1e300},"blob":"d""#)]
 #[case::left_is_huge(r#""opts":{"class":"check-setup","key":"01","left":"18446744073709551615"},"blob":"d""#)]
 #[case::unknown_class(r#""opts":{"class":"fax","key":"01","left":"900"},"blob":"d""#)]
 #[case::no_description(r#""opts":{"class":"check-setup","key":"01","left":"900"}"#)]
-#[case::description_is_no_text(r#""opts":{"class":"check-setup","key":"01","left":"900"},"blob":7"#)]
-#[case::fields_are_no_object(r#""opts":[],"blob":"d""#)]
-#[case::odd_first_choice(
-    r#""opts":{"class":"check-setup","key":"01","left":"9","extras":"dest:x"},"blob":"d""#
-)]
-#[case::extras_are_no_pairs(
+#[case::description_is_not_text(r#""opts":{"class":"check-setup","key":"01","left":"900"},"blob":7"#)]
+#[case::fields_are_not_an_object(r#""opts":[],"blob":"d""#)]
+#[case::invalid_dest(r#""opts":{"class":"check-setup","key":"01","left":"9","extras":"dest:x"},"blob":"d""#)]
+#[case::extras_are_not_pairs(
     r#""opts":{"class":"check-setup","key":"01","left":"9","extras":"x"},"blob":"d""#
 )]
-#[case::no_width(r#""opts":{"class":"check-setup","key":"01","left":"9","extras":"width:0"},"blob":"d""#)]
-fn a_bad_field_gets_one_failing_finish(#[case] fields: &str) {
-    let (server, _program, gate) = one_server();
-    let _far = Lines::accept(&server);
-    let mut caller = Lines::connect(gate);
+#[case::zero_width(r#""opts":{"class":"check-setup","key":"01","left":"9","extras":"width:0"},"blob":"d""#)]
+fn invalid_field_gets_one_failing_finish(#[case] fields: &str) {
+    let (listener, _program, gatekeeper) = gatekeeper_with_server();
+    let _server = Lines::accept(&listener);
+    let mut caller = Lines::connect(gatekeeper);
     caller.raw(format!("{{\"verb\":\"START\",\"tag\":\"{TAG}\",{fields}}}\n").as_bytes());
     let failed = caller.expect("FINISH");
     assert_eq!((&failed["tag"], &failed["rc"]), (&json!(TAG), &json!(100)));
@@ -474,42 +489,43 @@
 }
 
 #[rstest]
-#[case::no_json(b"nonsense\n".to_vec())]
-#[case::no_object(b"[1,2]\n".to_vec())]
+#[case::not_json(b"nonsense\n".to_vec())]
+#[case::not_an_object(b"[1,2]\n".to_vec())]
 #[case::not_utf8(b"{\"verb\":\"\xff\"}\n".to_vec())]
 #[case::deeply_nested([vec![b'['; 16_000], b"\n".to_vec()].concat())]
 #[case::set_up_without_id(b"{\"verb\":\"START\",\"opts\":{}}\n".to_vec())]
 #[case::overlong([vec![b' '; 17_000], b"\n".to_vec()].concat())]
 #[case::overlong_without_end(vec![b'x'; 17_000])]
-fn an_unreadable_line_closes_its_connection_only(#[case] line_sent: Vec<u8>) {
-    let (server, at) = listen();
-    let (mut program, gate) = Program::platform(&Resolver::new(vec![line("s-1", at, 0)]), settings());
-    let _far = Lines::accept(&server);
-    let (mut bad, mut good) = (Lines::connect(gate), Lines::connect(gate));
-    bad.raw(&line_sent);
-    assert_eq!(bad.text(), "");
-    good.nothing_but_an_echo();
+fn unreadable_line_closes_only_its_connection(#[case] line_sent: Vec<u8>) {
+    let (listener, server_address) = listen();
+    let (mut program, gatekeeper) =
+        Program::platform(&Resolver::new(vec![line("s-1", server_address, 0)]), settings());
+    let _server = Lines::accept(&listener);
+    let (mut invalid, mut valid) = (Lines::connect(gatekeeper), Lines::connect(gatekeeper));
+    invalid.raw(&line_sent);
+    assert_eq!(invalid.text(), "");
+    valid.nothing_but_an_echo();
     assert!(program.runs());
 }
 
 #[test]
-fn unknown_types_and_ids_are_ignored() {
-    let (_server, _program, mut far, mut caller) = one_call();
+fn unknown_message_types_and_ids_are_ignored() {
+    let (_listener, _program, mut server, mut caller) = gatekeeper_with_caller();
     caller.say(json!({"verb": "NOTICE", "tag": 5, "more": {"a": []}}));
     caller.finish(&json!("00000000000000ff"), 16, json!({}));
-    far.say(json!({"verb": "RATE"}));
-    far.finish(&json!("00000000000000ff"), 16, json!({}));
+    server.say(json!({"verb": "RATE"}));
+    server.finish(&json!("00000000000000ff"), 16, json!({}));
     caller.nothing_but_an_echo();
     caller.start(TAG, 3000, 0);
-    assert_eq!(far.expect("START")["tag"], TAG);
+    assert_eq!(server.expect("START")["tag"], TAG);
 }
 
-/// A line may come in pieces, and several in one.
+/// A line may arrive in several reads, and one read may contain several lines.
 #[test]
-fn lines_are_put_together_and_taken_apart() {
-    let (server, _program, gate) = one_server();
-    let _far = Lines::accept(&server);
-    let mut caller = Lines::connect(gate);
+fn lines_are_reassembled_and_split() {
+    let (listener, _program, gatekeeper) = gatekeeper_with_server();
+    let _server = Lines::accept(&listener);
+    let mut caller = Lines::connect(gatekeeper);
     let echo = |tag: &str| format!("{{\"verb\":\"ECHO\",\"tag\":\"{tag}\",\"opts\":{{}},\"rc\":0}}\r\n");
     let (first, second) = (echo("0000000000000001"), echo("0000000000000002"));
     caller.raw(&first.as_bytes()[..20]);
@@ -521,57 +537,59 @@
     );
 }
 
-/// A caller that does not read must not hold up the others, and is cut off in the end.
+/// A caller that does not read must not delay other callers; its connection is closed eventually.
 #[test]
-fn a_peer_that_does_not_read_holds_nobody_up() {
-    let (server, _program, gate) = one_server();
-    let _far = Lines::accept(&server);
-    let (deaf, mut good) = (std::net::TcpStream::connect(gate).unwrap(), Lines::connect(gate));
-    deaf.set_write_timeout(Some(Duration::from_millis(500))).unwrap();
+fn caller_that_does_not_read_does_not_delay_others() {
+    let (listener, _program, gatekeeper) = gatekeeper_with_server();
+    let _server = Lines::accept(&listener);
+    let (unread, mut other) = (std::net::TcpStream::connect(gatekeeper).unwrap(), Lines::connect(gatekeeper));
+    unread.set_write_timeout(Some(Duration::from_millis(500))).unwrap();
     let echo = b"{\"verb\":\"ECHO\",\"tag\":\"0000000000000001\",\"opts\":{},\"rc\":0}\n".repeat(1000);
-    eventually("the deaf caller is cut off", || {
-        std::io::Write::write_all(&mut &deaf, &echo).is_err().then_some(())
+    eventually("the connection of the caller that does not read is closed", || {
+        std::io::Write::write_all(&mut &unread, &echo).is_err().then_some(())
     });
-    good.nothing_but_an_echo();
+    other.nothing_but_an_echo();
 }
 
-/// What still stands when the time after SIGTERM is over is released on both sides, before SIGKILL may come.
+/// Calls that are still established when the grace period after SIGTERM ends are released on both sides, before
+/// SIGKILL may follow.
 #[test]
-fn a_planned_stop_releases_what_still_stands() {
-    let (_server, mut program, mut far, mut caller) = one_call();
+fn shutdown_releases_established_calls() {
+    let (_listener, mut program, mut server, mut caller) = gatekeeper_with_caller();
     caller.start(TAG, 5000, 0);
-    let start = far.expect("START");
-    far.started(&start["tag"]);
+    let start = server.expect("START");
+    server.started(&start["tag"]);
     caller.expect("STARTED");
-    let told = Instant::now();
+    let terminated_at = Instant::now();
     program.terminate();
-    far.expect("ECHO"); // it goes on listening for the server
-    assert_eq!(far.expect("FINISH")["rc"], 16);
+    server.expect("ECHO"); // the server's health is still checked
+    assert_eq!(server.expect("FINISH")["rc"], 16);
     assert_eq!(caller.expect("FINISH")["rc"], 41);
     assert!(program.ended().success());
-    assert!(told.elapsed() > Duration::from_millis(2_900), "{:?}", told.elapsed());
+    assert!(terminated_at.elapsed() > Duration::from_millis(2_900), "{:?}", terminated_at.elapsed());
 }
 
-/// SIGTERM: what comes in is still answered, what stands may end, then the program ends well.
+/// After SIGTERM new set-ups are still answered and established calls may end; then the program exits successfully.
 #[test]
-fn a_planned_stop_answers_everything_first() {
-    let (server, at) = listen();
-    let (mut program, gate) = Program::platform(&Resolver::new(vec![line("s-1", at, 0)]), settings());
-    let mut far = Lines::accept(&server);
-    let mut caller = Lines::connect(gate);
+fn shutdown_answers_all_set_ups_first() {
+    let (listener, server_address) = listen();
+    let (mut program, gatekeeper) =
+        Program::platform(&Resolver::new(vec![line("s-1", server_address, 0)]), settings());
+    let mut server = Lines::accept(&listener);
+    let mut caller = Lines::connect(gatekeeper);
     caller.start(TAG, 5000, 0);
-    let before = far.expect("START");
+    let before = server.expect("START");
     program.terminate();
-    let mut late = Lines::connect(gate);
+    let mut late = Lines::connect(gatekeeper);
     late.start("00000000000000a3", 5000, 0);
-    let after = far.expect("START");
-    far.started(&before["tag"]);
-    far.finish(&after["tag"], 17, json!({}));
-    let again = far.expect("START");
-    far.started(&again["tag"]);
+    let after = server.expect("START");
+    server.started(&before["tag"]);
+    server.finish(&after["tag"], 17, json!({}));
+    let retry = server.expect("START");
+    server.started(&retry["tag"]);
     assert_eq!(caller.expect("STARTED")["tag"], TAG);
     assert_eq!(late.expect("STARTED")["tag"], "00000000000000a3");
-    far.finish(&before["tag"], 16, json!({}));
+    server.finish(&before["tag"], 16, json!({}));
     assert_eq!(caller.expect("FINISH")["rc"], 16);
     late.finish(&json!("00000000000000a3"), 16, json!({}));
     late.expect("FINISHED");
@@ -579,133 +597,134 @@
     assert!(!program.rest_of_log().contains("invariant"));
 }
 
-/// On SIGHUP the resolver that the file names is asked, and the numbers go on; a bad file changes nothing. A
-/// program that does not hear SIGHUP is ended by it.
+/// On SIGHUP the resolver named in the configuration file is polled, and list versions continue; an invalid file
+/// changes nothing. A program that does not handle SIGHUP is terminated by it.
 #[test]
-fn a_new_configuration_names_another_resolver() {
-    let (server, at) = listen();
-    let (_other, other_at) = listen();
-    let first = Resolver::new(vec![line("s-0", other_at, 0)]).numbered(3);
-    let (mut program, gate) = Program::platform(&first, settings());
+fn reload_switches_to_another_resolver() {
+    let (listener, server_address) = listen();
+    let (_other_listener, other_address) = listen();
+    let first = Resolver::new(vec![line("s-0", other_address, 0)]).numbered(3);
+    let (mut program, gatekeeper) = Program::platform(&first, settings());
     first.asked_often(1);
     program.replace("{");
     program.logged("all stays as it was");
     first.asked_often(2);
-    let second = Resolver::new(vec![line("s-1", at, 1)]).numbered(4);
+    let second = Resolver::new(vec![line("s-1", server_address, 1)]).numbered(4);
     program.reload(second.address);
-    let mut far = Lines::accept(&server);
-    let mut caller = Lines::connect(gate);
+    let mut server = Lines::accept(&listener);
+    let mut caller = Lines::connect(gatekeeper);
     caller.start(TAG, 3000, 1);
-    let start = far.expect("START");
-    far.started(&start["tag"]);
+    let start = server.expect("START");
+    server.started(&start["tag"]);
     caller.expect("STARTED");
     assert!(program.runs());
 }
 
-/// Strangers connect by the hundreds and say nothing; some callers ask once and never close. Neither keeps a new
-/// caller out, and who says nothing is closed.
+/// A hundred clients connect and send nothing. They must not keep a new caller out, and their connections are closed.
 #[test]
-fn idle_connections_make_way_for_new_callers() {
-    let (server, at) = listen();
-    let resolver = Resolver::new(vec![line("s-1", at, 0)]);
-    let (mut program, gate) = Program::platform_within(&resolver, 64);
-    let mut far = Lines::accept(&server);
+fn idle_connections_are_closed_for_new_callers() {
+    let (listener, server_address) = listen();
+    let resolver = Resolver::new(vec![line("s-1", server_address, 0)]);
+    let (mut program, gatekeeper) = Program::platform_within(&resolver, 64);
+    let mut server = Lines::accept(&listener);
     program.pause();
-    let silent: Vec<_> = (0..100).map(|_| Lines::connect(gate)).collect();
-    program.proceed(); // and finds them all at once
-    let mut caller = Lines::connect(gate);
+    let silent: Vec<_> = (0..100).map(|_| Lines::connect(gatekeeper)).collect();
+    program.proceed(); // the program finds all connections at once
+    let mut caller = Lines::connect(gatekeeper);
     caller.start(TAG, 3000, 0);
-    let start = far.expect("START");
-    far.started(&start["tag"]);
+    let start = server.expect("START");
+    server.started(&start["tag"]);
     caller.expect("STARTED");
-    for mut stranger in silent {
-        assert_eq!(stranger.text(), "");
+    for mut client in silent {
+        assert_eq!(client.text(), "");
     }
     program.terminate();
     assert!(program.ended().success());
     let log = program.rest_of_log();
-    assert!(!log.contains("accept"), "descriptors ran out: {log}");
+    assert!(!log.contains("accept"), "file descriptors ran out: {log}");
 }
 
-/// A set-up under the id of another connection's call is told that it failed, without harm to that call.
+/// A set-up with the id of another connection's call fails and does not affect that call.
 #[test]
-fn a_strangers_use_of_an_open_id_fails_and_harms_nobody() {
-    let (_server, _program, mut far, mut caller) = one_call();
+fn set_up_with_the_id_of_another_callers_call_fails() {
+    let (_listener, _program, mut server, mut caller) = gatekeeper_with_caller();
     caller.start(TAG, 3000, 0);
-    let start = far.expect("START");
-    let mut stranger = Lines::connect(caller.peer());
-    stranger.start(TAG, 2000, 0);
-    assert_eq!(stranger.expect("FINISH")["rc"], 100);
-    far.started(&start["tag"]);
+    let start = server.expect("START");
+    let mut other_caller = Lines::connect(caller.peer());
+    other_caller.start(TAG, 2000, 0);
+    assert_eq!(other_caller.expect("FINISH")["rc"], 100);
+    server.started(&start["tag"]);
     caller.expect("STARTED");
-    stranger.nothing_but_an_echo();
+    other_caller.nothing_but_an_echo();
 }
 
-/// A connection on which a server has stopped to say its state is cut: what is open there is given up with it, and comes to
-/// stand on another at once, not after its time-out.
+/// A connection on which a server has stopped sending its load reports is considered broken: it is closed, and its
+/// open set-ups are sent again on another connection at once, not after their time-out.
 #[test]
-fn a_connection_that_misses_its_reports_is_left_and_its_calls_go_out_again() {
-    let (server, _program, mut far, mut caller) = one_call();
+fn connection_with_missing_reports_is_closed_and_its_set_ups_are_retried() {
+    let (listener, _program, mut server, mut caller) = gatekeeper_with_caller();
     for _ in 0..6 {
-        far.say(json!({"verb": "LOAD", "tag": "00000000000000aa", "opts": {"load": "x0:12;x1:40"}}));
-        std::thread::sleep(Duration::from_millis(60)); // the rhythm that it keeps
+        server.say(json!({"verb": "LOAD", "tag": "00000000000000aa", "opts": {"load": "x0:12;x1:40"}}));
+        std::thread::sleep(Duration::from_millis(60)); // the report interval
     }
     caller.start(TAG, 8000, 0);
-    far.expect("START");
-    let mut next = Lines::accept(&server);
+    server.expect("START");
+    let mut next = Lines::accept(&listener);
     let state = json!({"verb": "LOAD", "tag": "00000000000000aa", "opts": {"load": "x0:12;x1:40"}});
     next.keeps_saying(state, Duration::from_millis(20));
-    assert_eq!(far.text(), "", "nothing more is said there: the connection ends");
-    let again = next.expect("START");
-    assert_eq!(again["tag"], TAG);
-    next.started(&again["tag"]);
+    assert_eq!(server.text(), "", "the connection is closed without a further message");
+    let retry = next.expect("START");
+    assert_eq!(retry["tag"], TAG);
+    next.started(&retry["tag"]);
     caller.expect("STARTED");
 }
 
-/// Out of service the clients' door and the connections say so: no test passes, and a connection ends once nothing is
-/// open or stands on it. In service again both are as before.
+/// While the gatekeeper is out of service, callers' health checks fail, and a connection is closed once it has no
+/// open set-up and no established call. Back in service, connections are accepted and health checks pass again.
 #[test]
-fn a_drain_sends_callers_away_and_loses_no_release() {
-    let (server, at) = listen();
-    let (_program, gate, door) = Program::with_door(&Resolver::new(vec![line("s-1", at, 0)]));
-    let mut far = Lines::accept(&server);
-    let (mut caller, mut idle) = (Lines::connect(gate), Lines::connect(gate));
+fn out_of_service_refuses_new_calls_and_loses_no_release() {
+    let (listener, server_address) = listen();
+    let (_program, gatekeeper, admin) =
+        Program::with_door(&Resolver::new(vec![line("s-1", server_address, 0)]));
+    let mut server = Lines::accept(&listener);
+    let (mut caller, mut idle) = (Lines::connect(gatekeeper), Lines::connect(gatekeeper));
     idle.nothing_but_an_echo();
     caller.start(TAG, 3000, 0);
-    let start = far.expect("START");
-    far.started(&start["tag"]);
+    let start = server.expect("START");
+    server.started(&start["tag"]);
     caller.expect("STARTED");
     for _ in 0..2 {
-        assert_eq!(ask(door, "PUT", "/control/out-of-service").0, 200);
+        assert_eq!(ask(admin, "PUT", "/control/out-of-service").0, 200);
     }
     let echo = json!({"verb": "ECHO", "tag": "00000000000000ee", "opts": {}, "rc": 0});
-    let mut test = Lines::connect(gate);
-    test.say(echo.clone());
-    assert_eq!(test.expect("ECHOED")["rc"], 0);
-    assert_eq!(idle.text(), "", "it has nothing open and is closed");
-    // Its call stands: this one is kept, new calls on it are turned away in the end, and the release still comes.
-    let mut far = far.answers_by_itself();
+    let mut health_check = Lines::connect(gatekeeper);
+    health_check.say(echo.clone());
+    assert_eq!(health_check.expect("ECHOED")["rc"], 0);
+    assert_eq!(idle.text(), "", "an idle connection is closed");
+    // The caller's connection is kept for its established call: new calls on it are refused eventually, and the release
+    // still arrives.
+    let mut server = server.answers_by_itself();
     let mut next = 0;
-    let turned_away = eventually("a new call is turned away", || {
+    let refused = eventually("a new call is refused", || {
         next += 1;
         let tag = format!("{next:016x}");
         caller.start(&tag, 3000, 0);
-        let heard = caller.hear();
-        if heard["verb"] == "STARTED" {
+        let answer = caller.hear();
+        if answer["verb"] == "STARTED" {
             caller.finish(&json!(tag), 16, json!({}));
             caller.expect("FINISHED");
         }
-        (heard["verb"] == "FINISH").then_some(heard)
+        (answer["verb"] == "FINISH").then_some(answer)
     });
-    assert_eq!((&turned_away["rc"], &turned_away["opts"]["wait"]), (&json!(34), &json!("100")));
-    far.finish(&start["tag"], 16, json!({}));
-    let over = caller.expect("FINISH");
-    assert_eq!((&over["tag"], &over["rc"]), (&json!(TAG), &json!(16)));
+    assert_eq!((&refused["rc"], &refused["opts"]["wait"]), (&json!(34), &json!("100")));
+    server.finish(&start["tag"], 16, json!({}));
+    let release = caller.expect("FINISH");
+    assert_eq!((&release["tag"], &release["rc"]), (&json!(TAG), &json!(16)));
     caller.say(json!({"verb": "FINISHED", "tag": TAG, "opts": {}}));
-    assert_eq!(caller.text(), "", "nothing stands on it any more");
-    assert_eq!(ask(door, "PUT", "/control/in-service").0, 200);
-    Lines::connect(gate).nothing_but_an_echo();
-    let mut test = Lines::connect(gate);
-    test.say(echo);
-    assert_eq!(test.expect("ECHOED")["rc"], 1);
+    assert_eq!(caller.text(), "", "the connection has no established call left");
+    assert_eq!(ask(admin, "PUT", "/control/in-service").0, 200);
+    Lines::connect(gatekeeper).nothing_but_an_echo();
+    let mut health_check = Lines::connect(gatekeeper);
+    health_check.say(echo);
+    assert_eq!(health_check.expect("ECHOED")["rc"], 1);
 }
