--- a/src/cli.rs
+++ b/src/cli.rs
@@ -9,7 +9,7 @@
 
 /// Which fronts the program has.
 #[derive(Clone, Debug)]
-pub struct Fronts {
+pub struct Frontends {
     /// The platform's configuration.
     pub config: Option<PathBuf>,
     /// The SIP front's configuration.
@@ -45,7 +45,7 @@
 
 /// What a gatekeeper is asked about its fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Question {
+pub enum FleetQuery {
     /// The whole object.
     Status,
     /// The members.
@@ -58,7 +58,7 @@
 
 /// The call that `explain` is asked about.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct ExplainRequest {
     /// Its class.
     pub class: String,
     /// The number called.
@@ -71,20 +71,20 @@
 #[derive(Clone, Debug)]
 pub enum Task {
     /// Run a gatekeeper.
-    Serve(Fronts, Option<PathBuf>, Option<String>, log::Settings, Option<Door>),
+    Serve(Frontends, Option<PathBuf>, Option<String>, log::Settings, Option<AdminAddress>),
     /// Say which version this is.
     Version,
     /// Read the files and say what is in them and what is wrong with them.
-    CheckConfig(Fronts, Option<PathBuf>, Option<String>, Format),
+    CheckConfig(Frontends, Option<PathBuf>, Option<String>, Format),
     /// Say what holds for a call, and where each value comes from.
-    Explain(Fronts, PathBuf, Asked, Format),
+    Explain(Frontends, PathBuf, ExplainRequest, Format),
     /// Print the operators' file's JSON Schema.
     Schema,
     /// Ask a gatekeeper about its fleet.
-    Fleet(Question, Door, Format),
+    Fleet(FleetQuery, AdminAddress, Format),
 }
 
-fn fronts() -> impl Parser<Fronts> {
+fn fronts() -> impl Parser<Frontends> {
     let config = long("config")
         .env("LB_CONFIG")
         .help("the platform front's configuration, as JSON")
@@ -94,19 +94,19 @@
         .help("the SIP front's configuration, as JSON; without it there is no SIP front")
         .argument::<PathBuf>("FILE")
         .optional();
-    construct!(Fronts { config, sip })
+    construct!(Frontends { config, sip })
 }
 
 /// Where operators connect, as it was given.
 #[derive(Clone, Debug)]
-pub struct Door(pub String);
+pub struct AdminAddress(pub String);
 
-fn door() -> impl Parser<Option<Door>> {
+fn door() -> impl Parser<Option<AdminAddress>> {
     long("door")
         .env("LB_OPS")
         .help("where operators connect, as in 127.0.0.1:9800; goes before 'ops' in the configuration")
         .argument::<String>("HOST:PORT")
-        .map(Door)
+        .map(AdminAddress)
         .optional()
 }
 
@@ -148,7 +148,7 @@
             .env("LB_OPS")
             .help("the door of the gatekeeper that is asked")
             .argument::<String>("HOST:PORT")
-            .map(Door);
+            .map(AdminAddress);
         let (question, format) = (pure(question), format());
         construct!(Task::Fleet(question, door, format))
             .to_options()
@@ -156,10 +156,10 @@
             .footer("Status: 0 done, 1 refused, with its reason, 69 nobody to ask")
             .command(name)
     };
-    let status = question(Question::Status, "status", "Says how a gatekeeper sees its fleet");
-    let members = question(Question::Members, "members", "Prints the fleet's members as a table");
-    let owners = question(Question::Owners, "owners", "Prints whose each item of work is, with its token");
-    let log = question(Question::Log, "log", "Prints what the fleet's log has decided of late");
+    let status = question(FleetQuery::Status, "status", "Says how a gatekeeper sees its fleet");
+    let members = question(FleetQuery::Members, "members", "Prints the fleet's members as a table");
+    let owners = question(FleetQuery::Owners, "owners", "Prints whose each item of work is, with its token");
+    let log = question(FleetQuery::Log, "log", "Prints what the fleet's log has decided of late");
     construct!([status, members, owners, log])
         .to_options()
         .descr("Asks a gatekeeper about the fleet that it is part of")
@@ -169,7 +169,7 @@
 
 /// The parser of the command line.
 pub fn parser() -> OptionParser<Task> {
-    let some = |f: &Fronts| f.config.is_some() || f.sip.is_some();
+    let some = |f: &Frontends| f.config.is_some() || f.sip.is_some();
     let of_serve = fronts().guard(some, "give --config (or LB_CONFIG), --sip, or both");
     let (ops_of_serve, node_of_serve, log, door) = (ops().optional(), node(), logging(), door());
     let serve = construct!(Task::Serve(of_serve, ops_of_serve, node_of_serve, log, door))
@@ -194,7 +194,7 @@
     let class = long("class").help("the call's class").argument::<String>("NAME");
     let number = long("number").help("the number called").argument::<String>("NUMBER");
     let pool = long("pool").help("its pool of first choice").argument::<i64>("N").fallback(-1);
-    let asked = construct!(Asked { class, number, pool });
+    let asked = construct!(ExplainRequest { class, number, pool });
     let (of_explain, ops_of_explain, format_of_explain) = (fronts(), ops(), format());
     let explain = construct!(Task::Explain(of_explain, ops_of_explain, asked, format_of_explain))
         .to_options()
--- a/src/commands.rs
+++ b/src/commands.rs
@@ -5,7 +5,7 @@
 
 use serde_json::{Value, json};
 
-use crate::cli::{Asked, Format, Fronts};
+use crate::cli::{ExplainRequest, Format, Frontends};
 use crate::config::{self, Config, ConfigError, SipConfig};
 use crate::config_check;
 use crate::limits::units::Span;
@@ -50,7 +50,7 @@
 ///
 /// # Errors
 /// Where a file cannot be read, decoded, or is refused.
-pub fn read(fronts: &Fronts) -> Result<Configs, ReadError> {
+pub fn read_configs(fronts: &Frontends) -> Result<Configs, ReadError> {
     if let Some(report) = sip_report(fronts).filter(|r| r.refused) {
         return Err(ReadError::Refused { file: report.file.clone(), report: report.render() });
     }
@@ -60,10 +60,10 @@
 }
 
 /// What is wrong with the SIP front's configuration, if it is asked for and can be read as a text.
-fn sip_report(fronts: &Fronts) -> Option<Report> {
+fn sip_report(fronts: &Frontends) -> Option<Report> {
     let path = fronts.sip.as_deref()?;
     let text = std::fs::read_to_string(path).ok()?;
-    Some(config_check::sip(&path.display().to_string(), &text))
+    Some(config_check::check_sip(&path.display().to_string(), &text))
 }
 
 /// Reads one file; what is wrong with it is said in one line.
@@ -85,12 +85,12 @@
 
 /// Checks the files. Returns the text to print and whether they are accepted.
 pub fn check(
-    frontends: &Fronts,
+    frontends: &Frontends,
     ops_file: Option<&PathBuf>,
     node: Option<&str>,
     format: Format,
 ) -> (String, bool) {
-    let configs = match read(frontends) {
+    let configs = match read_configs(frontends) {
         Ok(configs) => configs,
         Err(error) => return (config_error(frontends, &error.to_string(), format), false),
     };
@@ -111,7 +111,7 @@
 }
 
 /// The output for a configuration that cannot be read; in JSON with the SIP configuration's report, if that was refused.
-fn config_error(frontends: &Fronts, error: &str, format: Format) -> String {
+fn config_error(frontends: &Frontends, error: &str, format: Format) -> String {
     if format == Format::Text {
         return format!("error: {error}\n");
     }
@@ -141,7 +141,7 @@
 fn summary((config, sip): &Configs) -> String {
     let mut out = String::new();
     if let Some(c) = config {
-        let (classes, lists) = (c.classes.join(", "), c.known.len());
+        let (classes, lists) = (c.classes.join(", "), c.list_events.len());
         out.push_str(&format!(
             "{}: listens on {}, resolver {}, {lists} list events, classes: {classes}\n",
             c.name, c.listen, c.dns
@@ -157,8 +157,8 @@
 }
 
 /// Says what holds for a call.
-pub fn explain(fronts: &Fronts, file: &Path, asked: &Asked, format: Format) -> (String, bool) {
-    let configs = match read(fronts) {
+pub fn explain(fronts: &Frontends, file: &Path, asked: &ExplainRequest, format: Format) -> (String, bool) {
+    let configs = match read_configs(fronts) {
         Ok(configs) => configs,
         Err(e) => return (format!("error: {e}\n"), false),
     };
@@ -185,7 +185,7 @@
     (out, true)
 }
 
-fn explained(plan: &Plan, asked: &Asked, format: Format) -> String {
+fn explained(plan: &Plan, asked: &ExplainRequest, format: Format) -> String {
     let route = plan.route(&asked.class, asked.pool, &asked.number);
     let limits = plan.compile(route, Some(&asked.class));
     let mut rows = per_call(&limits);
--- a/src/config.rs
+++ b/src/config.rs
@@ -61,13 +61,13 @@
     /// For random numbers.
     pub seed: u64,
     /// Maximum number of file descriptors.
-    pub sockets: usize,
+    pub max_sockets: usize,
     /// The resolver.
     pub dns: SocketAddr,
     /// The number of the list's last event.
-    pub seq: u32,
+    pub list_seq: u32,
     /// The list's events up to that one.
-    pub known: Vec<(EndpointListScope, Vec<ListedServer>)>,
+    pub list_events: Vec<(EndpointListScope, Vec<ListedServer>)>,
     /// The decision module's settings.
     pub settings: Settings,
     /// Names of the classes, by their place in the settings.
@@ -77,7 +77,7 @@
     /// The longest time that a class's callers wait, by its place in the settings.
     pub max_waits: Vec<Micros>,
     /// Where operators connect; `None`: nowhere.
-    pub ops: Option<SocketAddr>,
+    pub admin_address: Option<SocketAddr>,
 }
 
 /// What the SIP front is told.
@@ -99,7 +99,7 @@
     /// T1 of RFC 3261.
     pub t1: Micros,
     /// How long a caller waits at most.
-    pub wait: Micros,
+    pub max_wait: Micros,
     /// The decision module's settings.
     pub settings: Settings,
     /// Names of the classes, by their place in the settings.
@@ -107,7 +107,7 @@
     /// TCP connections are bounded by this.
     pub dial_timeout: Micros,
     /// Where operators connect; `None`: nowhere.
-    pub ops: Option<SocketAddr>,
+    pub admin_address: Option<SocketAddr>,
 }
 
 /// A JSON object, read by key. Errors name the key.
@@ -123,24 +123,29 @@
 impl SipConfig {
     /// What the installation permits.
     pub fn ceilings(&self) -> Ceilings {
-        Ceilings::from_settings(&self.settings, &self.classes, &vec![self.wait; self.classes.len()], false)
+        Ceilings::from_settings(
+            &self.settings,
+            &self.classes,
+            &vec![self.max_wait; self.classes.len()],
+            false,
+        )
     }
 }
 
 impl<'a> Object<'a> {
     /// Takes a value that must be an object.
-    pub fn of(value: &'a JsonValue, what: &str) -> Result<Self, ConfigError> {
+    pub fn from_json(value: &'a JsonValue, what: &str) -> Result<Self, ConfigError> {
         value.get().map(Object).ok_or_else(|| ConfigError::NotAnObject(what.to_string()))
     }
 
     /// The value of a key that must be there.
-    pub fn need(&self, key: &str) -> Result<&'a JsonValue, ConfigError> {
+    pub fn require(&self, key: &str) -> Result<&'a JsonValue, ConfigError> {
         self.0.get(key).ok_or_else(|| ConfigError::Missing(key.to_string()))
     }
 
     /// A text that must be there.
     pub fn text(&self, key: &str) -> Result<&'a str, ConfigError> {
-        let text = self.need(key)?.get::<String>();
+        let text = self.require(key)?.get::<String>();
         text.map(String::as_str).ok_or_else(|| wrong_type(key, "a text"))
     }
 
@@ -150,7 +155,7 @@
     }
 
     /// An address, where the key is there.
-    fn address_if_any(&self, key: &str) -> Result<Option<SocketAddr>, ConfigError> {
+    fn optional_address(&self, key: &str) -> Result<Option<SocketAddr>, ConfigError> {
         if self.0.contains_key(key) { self.address(key).map(Some) } else { Ok(None) }
     }
 
@@ -179,7 +184,7 @@
     }
 
     fn object(&self, key: &str) -> Result<Object<'a>, ConfigError> {
-        Object::of(self.need(key)?, &format!("'{key}'"))
+        Object::from_json(self.require(key)?, &format!("'{key}'"))
     }
 }
 
@@ -199,7 +204,7 @@
 /// Decodes a configuration.
 pub fn decode(text: &str) -> Result<Config, ConfigError> {
     let json = parse(text)?;
-    let top = Object::of(&json, "the configuration")?;
+    let top = Object::from_json(&json, "the configuration")?;
     let seed = decode_seed(&top)?;
     let settings = top.object("settings")?;
     let known = top.object("known")?;
@@ -208,22 +213,22 @@
         name: top.text("name")?.to_string(),
         listen: top.address("listen")?,
         seed,
-        sockets: top.object("limits")?.count("sockets")? as usize,
+        max_sockets: top.object("limits")?.count("sockets")? as usize,
         dns: top.address("dns")?,
-        seq: known.count("seq")? as u32,
-        known: events(&known)?,
+        list_seq: known.count("seq")? as u32,
+        list_events: events(&known)?,
         settings: decode_settings(&settings)?,
         classes,
         dial_timeout: settings.object("ceilings")?.count("dial-timeout-us")?,
         max_waits,
-        ops: top.address_if_any("ops")?,
+        admin_address: top.optional_address("ops")?,
     })
 }
 
 /// Decodes the SIP front's configuration.
 pub fn decode_sip(text: &str) -> Result<SipConfig, ConfigError> {
     let json = parse(text)?;
-    let top = Object::of(&json, "the configuration")?;
+    let top = Object::from_json(&json, "the configuration")?;
     let settings = top.object("settings")?;
     let (classes, max_waits) = class_names(&settings)?;
     let longest_wait = max_waits.iter().copied().max().unwrap_or(0);
@@ -240,11 +245,11 @@
         service: service.to_string(),
         seed: decode_seed(&top)?,
         t1: or(top.count("t1_ms")?, 500).min(60_000) * 1000,
-        wait: or(top.count("wait_ms")?.min(3_600_000) * 1000, longest_wait),
+        max_wait: or(top.count("wait_ms")?.min(3_600_000) * 1000, longest_wait),
         settings: decode_settings(&settings)?,
         classes,
         dial_timeout: settings.object("ceilings")?.count("dial-timeout-us")?,
-        ops: top.address_if_any("ops")?,
+        admin_address: top.optional_address("ops")?,
     })
 }
 
@@ -252,7 +257,7 @@
 fn class_names(settings: &Object) -> Result<(Vec<String>, Vec<Micros>), ConfigError> {
     let (mut names, mut max_waits) = (Vec::new(), Vec::new());
     for service in settings.list("services")? {
-        let service = Object::of(service, "a service")?;
+        let service = Object::from_json(service, "a service")?;
         names.push(service.text("name")?.to_string());
         max_waits.push(service.count("hard-limit-us")?);
     }
@@ -265,7 +270,7 @@
     let pools = domain.list("allowed-pools")?;
     let mut classes = Vec::new();
     for (n, service) in settings.list("services")?.iter().enumerate() {
-        let service = Object::of(service, "a service")?;
+        let service = Object::from_json(service, "a service")?;
         let effect = service.0.get("effect").and_then(|e| e.get::<String>());
         classes.push(Class {
             latency_objective: service.count("aim-us")?,
@@ -313,7 +318,7 @@
 fn events(known: &Object) -> Result<Vec<(EndpointListScope, Vec<ListedServer>)>, ConfigError> {
     let mut events = Vec::new();
     for (n, event) in known.list("results")?.iter().enumerate() {
-        let fleet = Object::of(event, "an event")?.object("fleet")?;
+        let fleet = Object::from_json(event, "an event")?.object("fleet")?;
         let scope = match (n, fleet.flag("reset")) {
             (0, _) => EndpointListScope::Restored,
             (_, true) => EndpointListScope::Complete,
@@ -326,7 +331,7 @@
 }
 
 fn listed(line: &JsonValue) -> Result<ListedServer, ConfigError> {
-    let line = Object::of(line, "a server")?;
+    let line = Object::from_json(line, "a server")?;
     let status = match line.text("lifecycle")? {
         "in_service" => ServerStatus::Up,
         "terminating" => ServerStatus::Draining,
--- a/src/config_check.rs
+++ b/src/config_check.rs
@@ -189,8 +189,8 @@
 }
 
 /// The report on a SIP configuration with this file name and text.
-pub fn sip(name: &str, text: &str) -> Report {
-    ops::examine(name, text, |value, findings| {
+pub fn check_sip(name: &str, text: &str) -> Report {
+    ops::check_text(name, text, |value, findings| {
         let faults = findings.len();
         let file = ops::decode::<File>(value, &Path::default(), findings);
         if let (Some(file), true) = (file, faults == findings.len()) {
--- a/src/fleet/admin_query.rs
+++ b/src/fleet/admin_query.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use super::status::{self, CommittedChange, Status, members_table};
-use crate::cli::{Format, Question};
+use crate::cli::{FleetQuery, Format};
 
 /// Timeout for connecting and for each read and write. A working endpoint answers within a second.
 const TIMEOUT: Duration = Duration::from_secs(3);
@@ -46,8 +46,8 @@
 }
 
 /// Sends a query and prints the answer.
-pub fn run(question: Question, address: SocketAddr, format: Format) -> ExitCode {
-    let path = if question == Question::Log { "/control/fleet/log" } else { "/control/fleet" };
+pub fn run(query: FleetQuery, address: SocketAddr, format: Format) -> ExitCode {
+    let path = if query == FleetQuery::Log { "/control/fleet/log" } else { "/control/fleet" };
     let (status, body) = match get(address, path) {
         Ok(response) => response,
         Err(e) => {
@@ -59,7 +59,7 @@
         eprintln!("cobaltspool: {}", body.trim());
         return ExitCode::FAILURE;
     }
-    if question == Question::Log {
+    if query == FleetQuery::Log {
         return match serde_json::from_str::<Vec<CommittedChange>>(&body) {
             Ok(changes) if format == Format::Text => print(&status::changes_table(&changes)),
             Ok(_) => print(&(body + "\n")),
@@ -70,17 +70,17 @@
         Ok(fleet) => fleet,
         Err(e) => return report_unreadable(&e),
     };
-    match (question, format) {
-        (Question::Status, Format::Json) => println!("{body}"),
-        (Question::Status, Format::Text) => print!("{}", fleet.render()),
-        (Question::Members, Format::Json) => {
+    match (query, format) {
+        (FleetQuery::Status, Format::Json) => println!("{body}"),
+        (FleetQuery::Status, Format::Text) => print!("{}", fleet.render()),
+        (FleetQuery::Members, Format::Json) => {
             println!("{}", serde_json::to_string(&fleet.members).unwrap_or_default());
         }
-        (Question::Members, Format::Text) => print!("{}", members_table(&fleet.members)),
-        (Question::Owners, Format::Json) => {
+        (FleetQuery::Members, Format::Text) => print!("{}", members_table(&fleet.members)),
+        (FleetQuery::Owners, Format::Json) => {
             println!("{}", serde_json::to_string(&fleet.owners).unwrap_or_default());
         }
-        (Question::Owners | Question::Log, _) => print!("{}", status::owners_table(&fleet.owners)),
+        (FleetQuery::Owners | FleetQuery::Log, _) => print!("{}", status::owners_table(&fleet.owners)),
     }
     ExitCode::SUCCESS
 }
--- a/src/limits/check.rs
+++ b/src/limits/check.rs
@@ -30,8 +30,8 @@
 
 impl Findings {
     fn add(&mut self, finding: Finding) {
-        let places = finding.places.iter().map(|(p, _)| p.clone()).collect();
-        if self.list.len() < 10 * MAX_FINDINGS && self.seen.insert((finding.rule, places)) {
+        let paths = finding.locations.iter().map(|(p, _)| p.clone()).collect();
+        if self.list.len() < 10 * MAX_FINDINGS && self.seen.insert((finding.rule, paths)) {
             self.list.push(finding);
         }
     }
--- a/src/limits/check/combination.rs
+++ b/src/limits/check/combination.rs
@@ -9,7 +9,7 @@
 /// Finds conflicts in the limits of one route and class; each finding names all the settings that cause it.
 pub fn find_conflicts(limits: &Limits, ceilings: &Ceilings, class: Option<&ClassInfo>) -> Vec<Finding> {
     let max_wait = class.map(|class| class.max_wait).filter(|max_wait| *max_wait > 0);
-    let attempt_timeout = max_wait.and_then(|max_wait| limits.time_out.value.map(|t| t.of(max_wait)));
+    let attempt_timeout = max_wait.and_then(|max_wait| limits.time_out.value.map(|t| t.resolve(max_wait)));
     let mut check = Combination { limits, ceilings, class, max_wait, attempt_timeout, findings: Vec::new() };
     check.check_attempts();
     check.check_pauses();
--- a/src/limits/check/level.rs
+++ b/src/limits/check/level.rs
@@ -29,7 +29,7 @@
 }
 
 fn check_counts(settings: &LimitSettings, at: &Path, findings: &mut Findings) {
-    if settings.time_out.is_some_and(|time_out| time_out.of(LONG_WAIT) == 0) {
+    if settings.time_out.is_some_and(|time_out| time_out.resolve(LONG_WAIT) == 0) {
         let text = "an attempt of no time can never be answered";
         report_zero(findings, at.key("time_out"), text, "write how long an attempt may take");
     }
--- a/src/limits/limiter.rs
+++ b/src/limits/limiter.rs
@@ -367,7 +367,7 @@
                 budget.advance(now).new_calls += 1;
             }
         }
-        let attempt_timeout = limits.time_out.value.map(|t| t.of(request.time_left).max(1));
+        let attempt_timeout = limits.time_out.value.map(|t| t.resolve(request.time_left).max(1));
         Ok(Admission { limits, attempt_timeout, levels, has_reserved_retry: Cell::new(false) })
     }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -6,12 +6,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cobaltspool::cli::{self, Door, Fronts, Task};
-use cobaltspool::commands::{self, Configs, read};
+use cobaltspool::cli::{self, AdminAddress, Frontends, Task};
+use cobaltspool::commands::{self, Configs, read_configs};
 use cobaltspool::fleet::settings::FleetRole;
 use cobaltspool::limits::{Ceilings, Plan};
 use cobaltspool::operate::{AdminService, admin as admin_endpoint};
-use cobaltspool::sections::{self, Ops};
+use cobaltspool::sections::{self, OpsConfig};
 use cobaltspool::{fleet, log, platform, sip};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::watch;
@@ -63,7 +63,7 @@
 }
 
 /// Reads the operators' file, if there is one, against what each front's installation permits, in the fronts' order.
-fn read_ops(path: Option<&Path>, ceilings: &[Ceilings], node: Option<&str>) -> Result<Vec<Ops>> {
+fn read_ops(path: Option<&Path>, ceilings: &[Ceilings], node: Option<&str>) -> Result<Vec<OpsConfig>> {
     let Some(path) = path else { return Ok(Vec::new()) };
     let read = |ceilings: &Ceilings| {
         sections::read(path, ceilings, node)
@@ -73,13 +73,13 @@
 }
 
 fn start(
-    fronts: &Fronts,
+    fronts: &Frontends,
     file: Option<&Path>,
     node: Option<&str>,
     log: log::Settings,
-    door: Option<Door>,
+    door: Option<AdminAddress>,
 ) -> Result<()> {
-    let configs = read(fronts)?;
+    let configs = read_configs(fronts)?;
     let door = door_of(door, &configs)?;
     let ceilings = commands::ceilings(&configs);
     let ops = read_ops(file, &ceilings, node)?;
@@ -90,14 +90,16 @@
 }
 
 /// Where operators connect: what the command line or LB_OPS says goes before the configuration.
-fn door_of(given: Option<Door>, (config, sip): &Configs) -> Result<Option<SocketAddr>> {
-    match given.filter(|Door(text)| !text.is_empty()) {
+fn door_of(given: Option<AdminAddress>, (config, sip): &Configs) -> Result<Option<SocketAddr>> {
+    match given.filter(|AdminAddress(text)| !text.is_empty()) {
         Some(door) => address_of(&door).map(Some),
-        None => Ok(config.as_ref().and_then(|c| c.ops).or(sip.as_ref().and_then(|c| c.ops))),
+        None => {
+            Ok(config.as_ref().and_then(|c| c.admin_address).or(sip.as_ref().and_then(|c| c.admin_address)))
+        }
     }
 }
 
-fn address_of(Door(text): &Door) -> Result<SocketAddr> {
+fn address_of(AdminAddress(text): &AdminAddress) -> Result<SocketAddr> {
     text.parse()
         .map_err(|_| format!("--door or LB_OPS: '{text}' is no address; write HOST:PORT with numbers").into())
 }
@@ -109,18 +111,18 @@
     node: Option<&'a str>,
 }
 
-fn warn_of(ops: &[Ops]) {
+fn warn_of(ops: &[OpsConfig]) {
     for finding in ops.iter().flat_map(|o| &o.report.findings) {
-        let at = finding.places.first().map_or("", |p| &p.path);
+        let at = finding.locations.first().map_or("", |p| &p.path);
         tracing::warn!(rule = finding.rule, at, "{}", finding.text);
     }
 }
 
 fn serve(
-    fronts: &Fronts,
+    fronts: &Frontends,
     (config, sip): Configs,
     operators: &Operators,
-    ops: Vec<Ops>,
+    ops: Vec<OpsConfig>,
     door: Option<SocketAddr>,
 ) -> Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -197,8 +199,8 @@
 }
 
 /// Reads all files.
-fn read_all(fronts: &Fronts, operators: &Operators<'_>) -> Result<(Configs, Vec<Ops>)> {
-    let configs = read(fronts)?;
+fn read_all(fronts: &Frontends, operators: &Operators<'_>) -> Result<(Configs, Vec<OpsConfig>)> {
+    let configs = read_configs(fronts)?;
     let ops = read_ops(operators.file, &operators.ceilings, operators.node)?;
     Ok((configs, ops))
 }
@@ -207,7 +209,7 @@
 /// on; the rest holds until the next start. It is all or nothing: a file that cannot be read, or has a finding that
 /// refuses it, changes nothing.
 async fn reload(
-    fronts: &Fronts,
+    fronts: &Frontends,
     operators: &Operators<'_>,
     mut hup: Signal,
     dns: [&watch::Sender<SocketAddr>; 2],
--- a/src/ops/finding.rs
+++ b/src/ops/finding.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 /// Findings that are told one by one; further ones are only counted.
-pub const MAX_TOLD: usize = 100;
+pub const MAX_REPORTED: usize = 100;
 
 /// A step of a path into the file.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -69,18 +69,18 @@
 /// How much a finding matters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Weight {
+pub enum Severity {
     /// The file is refused.
     Error,
     /// The file is taken; the operators should look.
     Warning,
 }
 
-/// Something that is wrong, by the paths of all the places that make it up.
+/// Something that is wrong, by the paths of all the locations that make it up.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Finding {
     /// How much it matters.
-    pub weight: Weight,
+    pub severity: Severity,
     /// The rule that it breaks, one word a rule.
     pub rule: &'static str,
     /// What is wrong.
@@ -88,7 +88,7 @@
     /// What to write in its place.
     pub remedy: String,
     /// Where, and what that place has to do with it; the main one first.
-    pub places: Vec<(Path, String)>,
+    pub locations: Vec<(Path, String)>,
 }
 
 impl Finding {
@@ -99,28 +99,28 @@
         text: impl Into<String>,
         remedy: impl Into<String>,
     ) -> Finding {
-        let places = vec![(at, String::new())];
-        Finding { weight: Weight::Error, rule, text: text.into(), remedy: remedy.into(), places }
+        let locations = vec![(at, String::new())];
+        Finding { severity: Severity::Error, rule, text: text.into(), remedy: remedy.into(), locations }
     }
 
     /// The same as a warning.
     #[must_use]
     pub fn warning(mut self) -> Finding {
-        self.weight = Weight::Warning;
+        self.severity = Severity::Warning;
         self
     }
 
     /// Made up by this place too.
     #[must_use]
     pub fn with(mut self, at: Path, what: impl Into<String>) -> Finding {
-        self.places.push((at, what.into()));
+        self.locations.push((at, what.into()));
         self
     }
 }
 
 /// One place of a finding, found in the text.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Place {
+pub struct SourceLocation {
     /// Its path.
     pub path: String,
     /// From 1.
@@ -135,11 +135,12 @@
     range: (usize, usize),
 }
 
-/// A finding with its places in the text.
+/// A finding with its locations in the text.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Located {
+pub struct LocatedFinding {
     /// How much it matters.
-    pub weight: Weight,
+    #[serde(rename = "weight")]
+    pub severity: Severity,
     /// The rule that it breaks.
     pub rule: &'static str,
     /// What is wrong.
@@ -147,7 +148,8 @@
     /// What to write in its place.
     pub remedy: String,
     /// Where.
-    pub places: Vec<Place>,
+    #[serde(rename = "places")]
+    pub locations: Vec<SourceLocation>,
 }
 
 /// All that was found in one file.
@@ -155,8 +157,8 @@
 pub struct Report {
     /// The file.
     pub file: String,
-    /// What was found, in the order of the places; at most [`MAX_TOLD`].
-    pub findings: Vec<Located>,
+    /// What was found, in the order of the locations; at most [`MAX_REPORTED`].
+    pub findings: Vec<LocatedFinding>,
     /// How many more there are.
     pub more: usize,
     /// Some finding is an error, among those not told too.
@@ -166,18 +168,18 @@
 }
 
 impl Report {
-    /// Puts findings in order and finds their places in the text. `locate` gives a path's range there.
+    /// Puts findings in order and finds their locations in the text. `locate` gives a path's range there.
     pub fn new(
         file: &str,
         text: &str,
         mut findings: Vec<Finding>,
         locate: impl Fn(&Path) -> Option<(usize, usize)>,
     ) -> Report {
-        let refused = findings.iter().any(|f| f.weight == Weight::Error);
+        let refused = findings.iter().any(|f| f.severity == Severity::Error);
         // Errors first where not all can be told.
-        findings.sort_by_key(|f| f.weight != Weight::Error);
-        let more = findings.len().saturating_sub(MAX_TOLD);
-        findings.truncate(MAX_TOLD);
+        findings.sort_by_key(|f| f.severity != Severity::Error);
+        let more = findings.len().saturating_sub(MAX_REPORTED);
+        findings.truncate(MAX_REPORTED);
         let lines: Vec<usize> =
             std::iter::once(0).chain(text.match_indices('\n').map(|(at, _)| at + 1)).collect();
         let place = |(path, what): (Path, String)| {
@@ -186,19 +188,19 @@
             let line = lines.partition_point(|start| *start <= range.0).max(1);
             let column = text.get(lines[line - 1]..range.0).map_or(1, |t| t.chars().count() + 1);
             let found: String = text.get(range.0..range.1).unwrap_or_default().chars().take(60).collect();
-            Place { path: path.to_string(), line, column, found, what, range }
+            SourceLocation { path: path.to_string(), line, column, found, what, range }
         };
-        let mut findings: Vec<Located> = findings
+        let mut findings: Vec<LocatedFinding> = findings
             .into_iter()
-            .map(|f| Located {
-                weight: f.weight,
+            .map(|f| LocatedFinding {
+                severity: f.severity,
                 rule: f.rule,
                 text: f.text,
                 remedy: f.remedy,
-                places: f.places.into_iter().map(place).collect(),
+                locations: f.locations.into_iter().map(place).collect(),
             })
             .collect();
-        findings.sort_by_key(|f| f.places.first().map_or(0, |p| p.range.0));
+        findings.sort_by_key(|f| f.locations.first().map_or(0, |p| p.range.0));
         Report { file: file.to_string(), findings, more, refused, text: text.to_string() }
     }
 
@@ -207,9 +209,9 @@
         let renderer = Renderer::plain();
         let mut out = String::new();
         for f in &self.findings {
-            let level = if f.weight == Weight::Error { Level::ERROR } else { Level::WARNING };
+            let level = if f.severity == Severity::Error { Level::ERROR } else { Level::WARNING };
             let mut snippet = Snippet::source(self.text.as_str()).path(self.file.as_str()).fold(true);
-            for (n, place) in f.places.iter().enumerate() {
+            for (n, place) in f.locations.iter().enumerate() {
                 let kind = if n == 0 { AnnotationKind::Primary } else { AnnotationKind::Context };
                 let end = self.text[place.range.0..place.range.1]
                     .find('\n')
--- a/src/ops/mod.rs
+++ b/src/ops/mod.rs
@@ -12,7 +12,7 @@
 use serde_json::Value;
 
 pub use decode::{MAX_BYTES, decode};
-pub use finding::{Finding, Path, Report, Weight};
+pub use finding::{Finding, Path, Report, Severity};
 
 /// One section of the file, as its subsystem reads and checks it.
 pub trait Section {
@@ -89,7 +89,7 @@
 }
 
 /// Looks through another text of ours: `check` gets its value and adds what it finds.
-pub fn examine(name: &str, text: &str, check: impl FnOnce(Value, &mut Vec<Finding>)) -> Report {
+pub fn check_text(name: &str, text: &str, check: impl FnOnce(Value, &mut Vec<Finding>)) -> Report {
     match decode::parse(text) {
         Ok(tree) => {
             let mut findings = Vec::new();
--- a/src/ops/units.rs
+++ b/src/ops/units.rs
@@ -83,10 +83,10 @@
 
 impl TimeOut {
     /// The time that a try has where the caller waits so long.
-    pub fn of(&self, patience: Micros) -> Micros {
+    pub fn resolve(&self, max_wait: Micros) -> Micros {
         match self {
             TimeOut::Span(span) => span.0,
-            TimeOut::Share(share) => (share.0 * patience as f64) as Micros,
+            TimeOut::Share(share) => (share.0 * max_wait as f64) as Micros,
         }
     }
 }
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -70,7 +70,7 @@
     stop: impl Future<Output = ()>,
 ) -> Result<(), ListenError> {
     let frontend = PlatformFrontend::start(&config, plan.borrow().clone());
-    for (scope, list) in config.known.clone() {
+    for (scope, list) in config.list_events.clone() {
         frontend.borrow_mut().handle_endpoint_list(clock::now(), scope, list);
     }
     let upgrade_socket = handover::receive_from_older(&frontend, config.listen).await;
@@ -83,7 +83,7 @@
         tokio::join!(
             clients::accept(frontend.clone(), listener),
             handover::accept_newer(frontend.clone(), upgrade_socket),
-            follow_endpoint_list(frontend.clone(), resolver, config.seq),
+            follow_endpoint_list(frontend.clone(), resolver, config.list_seq),
             driver::follow_limits(&frontend, plan)
         )
     };
@@ -113,11 +113,11 @@
         Rc::new_cyclic(|weak_self| {
             RefCell::new(PlatformFrontend {
                 driver,
-                clients: Clients::new(classes, longest_wait, config.sockets / 2, trace),
+                clients: Clients::new(classes, longest_wait, config.max_sockets / 2, trace),
                 servers: Servers::new(config.dial_timeout, config.seed),
                 directory: Directory::default(),
                 peer_process: handover::PeerProcess::default(),
-                list_seq: config.seq,
+                list_seq: config.list_seq,
                 is_listening: watch::Sender::new(true),
                 weak_self: weak_self.clone(),
                 last_connection: 1,
--- a/src/sections.rs
+++ b/src/sections.rs
@@ -25,7 +25,7 @@
 
 /// A file that was accepted.
 #[derive(Debug)]
-pub struct Ops {
+pub struct OpsConfig {
     /// What is logged, where the command line does not say.
     pub log: log::Settings,
     /// What routes and classes allow.
@@ -40,12 +40,17 @@
 
 /// Reads a file. `ceilings` are the platform's, where its configuration is known; `node` is the fleet's member that is
 /// started with it, where the command line names one.
-pub fn read(path: &FilePath, ceilings: &Ceilings, node: Option<&str>) -> Result<Ops, Report> {
+pub fn read(path: &FilePath, ceilings: &Ceilings, node: Option<&str>) -> Result<OpsConfig, Report> {
     read_text(&path.display().to_string(), &ops::load(path)?, ceilings, node)
 }
 
 /// Reads a text that came under this name.
-pub fn read_text(name: &str, text: &str, ceilings: &Ceilings, node: Option<&str>) -> Result<Ops, Report> {
+pub fn read_text(
+    name: &str,
+    text: &str,
+    ceilings: &Ceilings,
+    node: Option<&str>,
+) -> Result<OpsConfig, Report> {
     let mut log = log::Draft::default();
     let mut limits = limits::Draft::new(ceilings);
     let mut fleet = settings::Draft::new(node);
@@ -54,7 +59,7 @@
         return Err(report);
     }
     let digest = cobaltspool_fleet::codec::file_digest(text.as_bytes());
-    Ok(Ops { log: log.settings(), plan: limits.plan(), fleet: fleet.role(), digest, report })
+    Ok(OpsConfig { log: log.settings(), plan: limits.plan(), fleet: fleet.role(), digest, report })
 }
 
 /// A JSON Schema of the file, for editors.
--- a/src/sip/mod.rs
+++ b/src/sip/mod.rs
@@ -160,7 +160,7 @@
     fn start(config: &SipConfig, plan: Option<Rc<Plan>>, transport: Transport) -> Shared {
         let limits = Limiter::from_plan_or_settings(plan, &config.settings, &config.classes, config.seed);
         let gateway = Gateway::with_limits(config.settings.clone(), limits, config.seed);
-        let driver = Driver::new(gateway, config.classes.clone(), config.wait);
+        let driver = Driver::new(gateway, config.classes.clone(), config.max_wait);
         Rc::new_cyclic(|me| {
             RefCell::new(SipFrontend {
                 driver,
@@ -168,7 +168,7 @@
                 transport,
                 timers: Timers { t1: config.t1 },
                 servers_use_tcp: config.service.split('.').any(|label| label == "_tcp"),
-                max_setup_time: config.wait,
+                max_setup_time: config.max_wait,
                 drain_grace: config.settings.rules.drain_grace,
                 classes: config.classes.clone(),
                 server_transactions: HashMap::new(),
--- a/tests/fleet_settings.rs
+++ b/tests/fleet_settings.rs
@@ -2,11 +2,11 @@
 
 use cobaltspool::fleet::settings::FleetRole;
 use cobaltspool::limits::Ceilings;
-use cobaltspool::ops::Weight;
+use cobaltspool::ops::Severity;
 use cobaltspool::sections;
 use rstest::rstest;
 
-fn read_section(section: &str, node: Option<&str>) -> Result<sections::Ops, cobaltspool::ops::Report> {
+fn read_section(section: &str, node: Option<&str>) -> Result<sections::OpsConfig, cobaltspool::ops::Report> {
     sections::read_text("test", &format!("{{fleet: {section}}}"), &Ceilings::default(), node)
 }
 
@@ -64,8 +64,8 @@
     #[case] path: &str,
 ) {
     let report = read_section(section, None).map(|_| ()).expect_err("the section is rejected");
-    let matches = |f: &&cobaltspool::ops::finding::Located| {
-        f.rule == rule && f.weight == Weight::Error && f.places[0].path == path && !f.remedy.is_empty()
+    let matches = |f: &&cobaltspool::ops::finding::LocatedFinding| {
+        f.rule == rule && f.severity == Severity::Error && f.locations[0].path == path && !f.remedy.is_empty()
     };
     assert!(report.findings.iter().any(|f| matches(&f)), "{}", report.render());
 }
@@ -99,7 +99,7 @@
     let FleetRole::Member(fleet) = ops.fleet else { panic!("n9 is not a member") };
     assert_eq!((fleet.id.as_str(), fleet.voters.len(), fleet.lease), ("n9", 3, 2_000_000));
     let report = read_section(text, None).map(|_| ()).expect_err("n1 is a voter without a folder");
-    assert_eq!((report.findings[0].rule, &*report.findings[0].places[0].path), ("state", "fleet.state"));
+    assert_eq!((report.findings[0].rule, &*report.findings[0].locations[0].path), ("state", "fleet.state"));
     assert!(matches!(
         sections::read_text("none", "{}", &Ceilings::default(), None).unwrap().fleet,
         FleetRole::None
--- a/tests/limits_properties.rs
+++ b/tests/limits_properties.rs
@@ -8,7 +8,7 @@
 use cobaltspool::gateway::{AttemptId, Command, Gateway, Input, SetupRequest};
 use cobaltspool::limits::file::Section;
 use cobaltspool::limits::{AdmissionRequest, Ceilings, ClassInfo, Limiter, Limits, Plan};
-use cobaltspool::ops::{Path, Weight};
+use cobaltspool::ops::{Path, Severity};
 use cobaltspool::sections;
 use cobaltspool::*;
 use proptest::prelude::*;
@@ -319,7 +319,7 @@
         let plan = match sections::read_text("random", &text, &ceilings(), None) {
             Ok(ops) => ops.plan,
             Err(report) => {
-                for finding in report.findings.iter().filter(|f| f.weight == Weight::Error) {
+                for finding in report.findings.iter().filter(|f| f.severity == Severity::Error) {
                     prop_assert!(would_break(finding.rule, &limits), "{finding:#?} names a rule that {limits} does not break");
                 }
                 return Ok(());
--- a/tests/ops_files.rs
+++ b/tests/ops_files.rs
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 
 use cobaltspool::limits::{Ceilings, ClassInfo};
-use cobaltspool::ops::{self, Weight};
+use cobaltspool::ops::{self, Severity};
 use cobaltspool::sections;
 use rstest::rstest;
 
@@ -43,20 +43,23 @@
     let told = told(&text);
     let report = sections::read(&path, &ceilings(&told), None).expect_err("it is refused");
     let rule = told["rule"];
-    let fits = |f: &&ops::finding::Located| {
-        f.weight == Weight::Error && f.rule == rule && f.text.contains(told.get("says").unwrap_or(&""))
+    let fits = |f: &&ops::finding::LocatedFinding| {
+        f.severity == Severity::Error && f.rule == rule && f.text.contains(told.get("says").unwrap_or(&""))
     };
     let found = report.findings.iter().find(fits);
     let found = found.unwrap_or_else(|| panic!("{rule} is not among {:#?}", report.findings));
     assert!(!found.remedy.is_empty());
     if let Some(line) = told.get("line") {
-        assert_eq!(found.places[0].line, line.parse::<usize>().unwrap(), "{found:#?}");
+        assert_eq!(found.locations[0].line, line.parse::<usize>().unwrap(), "{found:#?}");
     }
     let places = told.get("places").map_or(1, |n| n.parse().unwrap());
-    assert!(found.places.len() >= places, "{found:#?}");
+    assert!(found.locations.len() >= places, "{found:#?}");
     let drawn = report.render();
     assert!(drawn.contains(&found.text) && drawn.contains(&found.remedy), "{drawn}");
-    assert!(drawn.contains(&format!(":{}:{}", found.places[0].line, found.places[0].column)), "{drawn}");
+    assert!(
+        drawn.contains(&format!(":{}:{}", found.locations[0].line, found.locations[0].column)),
+        "{drawn}"
+    );
 }
 
 #[rstest]
@@ -74,7 +77,7 @@
 fn all_findings_come_in_one_go() {
     let text = "{log: {level: \"loud\"},\n limits: {default: {attempts: 9, time_out: 5},\n classes: {voice: {nope: 1}}, x: 1},\n y: 2}";
     let report = sections::read_text("many", text, &Ceilings::default(), None).unwrap_err();
-    let lines: Vec<usize> = report.findings.iter().map(|f| f.places[0].line).collect();
+    let lines: Vec<usize> = report.findings.iter().map(|f| f.locations[0].line).collect();
     assert_eq!(lines, [1, 2, 3, 3, 4], "{:#?}", report.findings);
 }
 
--- a/tests/sip_settings.rs
+++ b/tests/sip_settings.rs
@@ -14,7 +14,7 @@
 #[test]
 fn shipped_configuration_has_no_findings() {
     let text = std::fs::read_to_string("deploy/sip.json").unwrap();
-    assert_eq!(config_check::sip("deploy/sip.json", &text).findings, []);
+    assert_eq!(config_check::check_sip("deploy/sip.json", &text).findings, []);
 }
 
 #[rstest]
@@ -51,12 +51,12 @@
     let mut config = shipped_config();
     config.pointer_mut(section).unwrap()[key] = value;
     let text = serde_json::to_string_pretty(&config).unwrap();
-    let report = config_check::sip("sip.json", &text);
+    let report = config_check::check_sip("sip.json", &text);
     assert!(report.refused);
     let finding =
         report.findings.iter().find(|f| f.rule == rule).unwrap_or_else(|| panic!("{:#?}", report.findings));
     let line = text.lines().position(|l| l.contains(&format!("\"{key}\""))).unwrap() + 1;
-    assert_eq!(finding.places[0].line, line, "{finding:#?}");
+    assert_eq!(finding.locations[0].line, line, "{finding:#?}");
 }
 
 /// One run of check-config reports several errors: 40 attempts and a release wait of 1 us. A misspelt setting is
