--- a/src/commands.rs
+++ b/src/commands.rs
@@ -1,5 +1,4 @@
-//! What the sub-commands print that do not serve: checks and explanations. Each gives its output and whether all is
-//! well.
+//! The `check-config` and `explain` commands. Each returns the text to print and whether it succeeded.
 
 use std::path::{Path, PathBuf};
 
@@ -13,7 +12,7 @@
 use crate::ops::Report;
 use crate::sections;
 
-/// A frontend's configuration cannot be used.
+/// Why a frontend's configuration cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
     /// A file cannot be read.
@@ -21,7 +20,7 @@
     File {
         /// The file.
         file: PathBuf,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
     /// A file cannot be decoded.
@@ -29,58 +28,60 @@
     Config {
         /// The file.
         file: PathBuf,
-        /// Why.
+        /// The cause.
         source: ConfigError,
     },
-    /// A file breaks a rule.
+    /// A file violates a rule.
     #[error("{file} is refused\n{report}")]
     Refused {
         /// The file.
         file: String,
-        /// The diagnostics, as text.
+        /// The findings, as text.
         report: String,
     },
 }
 
-/// The frontends' configurations, as far as they are asked for.
+/// The configurations of the frontends that are enabled: platform and SIP.
 pub type Configs = (Option<Config>, Option<SipConfig>);
 
-/// Reads the fronts' configurations. The SIP front's is ours, so it is refused where it would break a rule; the platform's
-/// is taken as it is.
+/// Reads the frontends' configurations. The SIP frontend's format is defined by this program, so a configuration that
+/// violates a rule is refused; the platform's is only decoded.
 ///
 /// # Errors
-/// Where a file cannot be read, decoded, or is refused.
-pub fn read_configs(fronts: &Frontends) -> Result<Configs, ReadError> {
-    if let Some(report) = sip_report(fronts).filter(|r| r.refused) {
+/// If a file cannot be read or decoded, or is refused.
+pub fn read_configs(frontends: &Frontends) -> Result<Configs, ReadError> {
+    if let Some(report) = sip_report(frontends).filter(|r| r.refused) {
         return Err(ReadError::Refused { file: report.file.clone(), report: report.render() });
     }
-    let config = fronts.config.as_deref().map(|p| decoded(p, config::decode)).transpose()?;
-    let sip = fronts.sip.as_deref().map(|p| decoded(p, config::decode_sip)).transpose()?;
+    let config = frontends.config.as_deref().map(|p| read_file(p, config::decode)).transpose()?;
+    let sip = frontends.sip.as_deref().map(|p| read_file(p, config::decode_sip)).transpose()?;
     Ok((config, sip))
 }
 
-/// What is wrong with the SIP front's configuration, if it is asked for and can be read as a text.
-fn sip_report(fronts: &Frontends) -> Option<Report> {
-    let path = fronts.sip.as_deref()?;
+/// Checks the SIP frontend's configuration. Returns `None` if it is not enabled or the file cannot be read as UTF-8.
+fn sip_report(frontends: &Frontends) -> Option<Report> {
+    let path = frontends.sip.as_deref()?;
     let text = std::fs::read_to_string(path).ok()?;
     Some(config_check::check_sip(&path.display().to_string(), &text))
 }
 
-/// Reads one file; what is wrong with it is said in one line.
-fn decoded<T>(path: &Path, decode: fn(&str) -> Result<T, ConfigError>) -> Result<T, ReadError> {
+/// Reads and decodes one file. The error is a single line.
+fn read_file<T>(path: &Path, decode: fn(&str) -> Result<T, ConfigError>) -> Result<T, ReadError> {
     let file = || path.to_path_buf();
     let text = std::fs::read_to_string(path).map_err(|source| ReadError::File { file: file(), source })?;
     decode(&text).map_err(|source| ReadError::Config { file: file(), source })
 }
 
-/// What each front's installation permits; one that permits nothing known where there is no front.
+/// Returns the limits that the installation sets for each frontend. Without a frontend this is one set of defaults, for an
+/// unknown installation.
 pub fn ceilings((config, sip): &Configs) -> Vec<Ceilings> {
     let platform = config.as_ref().map(Config::ceilings);
-    let mut all: Vec<Ceilings> = platform.into_iter().chain(sip.as_ref().map(SipConfig::ceilings)).collect();
-    if all.is_empty() {
-        all.push(Ceilings::default());
+    let mut ceilings: Vec<Ceilings> =
+        platform.into_iter().chain(sip.as_ref().map(SipConfig::ceilings)).collect();
+    if ceilings.is_empty() {
+        ceilings.push(Ceilings::default());
     }
-    all
+    ceilings
 }
 
 /// Checks the files. Returns the text to print and whether they are accepted.
@@ -110,7 +111,8 @@
     (text, accepted)
 }
 
-/// The output for a configuration that cannot be read; in JSON with the SIP configuration's report, if that was refused.
+/// Returns the output for a configuration that cannot be used. If the SIP configuration was refused, the JSON contains the
+/// report on it.
 fn config_error(frontends: &Frontends, error: &str, format: Format) -> String {
     if format == Format::Text {
         return format!("error: {error}\n");
@@ -122,7 +124,7 @@
     object.to_string() + "\n"
 }
 
-/// The different reports on the operators' file, which is checked against what each configuration permits.
+/// Checks the operators' file against the limits of each configuration. Identical reports are returned once.
 fn ops_reports(configs: &Configs, ops_file: Option<&PathBuf>, node: Option<&str>) -> Vec<Report> {
     let mut reports: Vec<Report> = Vec::new();
     let Some(file) = ops_file else { return reports };
@@ -156,9 +158,14 @@
     out
 }
 
-/// Says what holds for a call.
-pub fn explain(fronts: &Frontends, file: &Path, asked: &ExplainRequest, format: Format) -> (String, bool) {
-    let configs = match read_configs(fronts) {
+/// Prints the limits that apply to a call.
+pub fn explain(
+    frontends: &Frontends,
+    file: &Path,
+    request: &ExplainRequest,
+    format: Format,
+) -> (String, bool) {
+    let configs = match read_configs(frontends) {
         Ok(configs) => configs,
         Err(e) => return (format!("error: {e}\n"), false),
     };
@@ -172,34 +179,37 @@
             Err(report) => return (report.render(), false),
         };
         if let Some(known) = &ceilings.classes
-            && !known.iter().any(|c| c.name == asked.class)
+            && !known.iter().any(|c| c.name == request.class)
         {
             let names: Vec<&str> = known.iter().map(|c| c.name.as_str()).collect();
             return (
-                format!("error: there is no class '{}'; write one of {}\n", asked.class, names.join(", ")),
+                format!("error: there is no class '{}'; write one of {}\n", request.class, names.join(", ")),
                 false,
             );
         }
-        out.push_str(&explained(&ops.plan, asked, format));
+        out.push_str(&explain_call(&ops.plan, request, format));
     }
     (out, true)
 }
 
-fn explained(plan: &Plan, asked: &ExplainRequest, format: Format) -> String {
-    let route = plan.route(&asked.class, asked.pool, &asked.number);
-    let limits = plan.compile(route, Some(&asked.class));
-    let mut rows = per_call(&limits);
-    for (origin, terms) in plan.levels(route, Some(&asked.class)) {
-        let mut cap = |name: &str, value: Option<String>| {
+fn explain_call(plan: &Plan, request: &ExplainRequest, format: Format) -> String {
+    let route = plan.route(&request.class, request.pool, &request.number);
+    let limits = plan.compile(route, Some(&request.class));
+    let mut rows = per_call_rows(&limits);
+    for (origin, terms) in plan.levels(route, Some(&request.class)) {
+        let mut add_row = |name: &str, value: Option<String>| {
             rows.extend(value.map(|value| (name.to_string(), value, origin.clone())));
         };
-        cap("open_calls", terms.open_calls.map(|n| n.to_string()));
-        cap("rate", terms.rate.map(|r| format!("{} a second, {} at once", r.per_second, r.max_burst())));
-        cap(
+        add_row("open_calls", terms.open_calls.map(|n| n.to_string()));
+        add_row(
+            "rate",
+            terms.rate.map(|r| format!("{} per second, burst of {}", r.per_second, r.max_burst())),
+        );
+        add_row(
             "retry_budget",
             terms
                 .retry_budget
-                .map(|b| format!("{} of the fresh calls in {}, {} free", b.share, b.window, b.least)),
+                .map(|b| format!("{} of the new calls within {}, plus {}", b.share, b.window, b.least)),
         );
     }
     let name = route.map_or("none", |n| plan.section.routes[n].name.as_str());
@@ -220,9 +230,10 @@
     out
 }
 
+/// A line of the output: the setting, its value and its origin.
 type Row = (String, String, Origin);
 
-fn per_call(limits: &Limits) -> Vec<Row> {
+fn per_call_rows(limits: &Limits) -> Vec<Row> {
     fn row<T>(name: &str, sourced: &Sourced<T>, write: impl Fn(&T) -> String) -> Row {
         (name.to_string(), write(&sourced.value), sourced.from.clone())
     }
@@ -238,11 +249,14 @@
         row("pause.full", &limits.full, span),
         row("back_off", &limits.back_off, |b| {
             b.map_or("none".into(), |b| {
-                format!("{} times {} each time up to {}, {} of it drawn", b.first, b.factor, b.most, b.jitter)
+                format!(
+                    "{}, multiplied by {} each time up to {}, {} of it random",
+                    b.first, b.factor, b.most, b.jitter
+                )
             })
         }),
         row("come_back", &limits.retry_after, |c| {
-            c.map_or("as the limit that is met says".into(), |c| format!("{} to {}", c.least, c.most))
+            c.map_or("set by the limit that was reached".into(), |c| format!("{} to {}", c.least, c.most))
         }),
         row("second_copies", &limits.second_copies, |s| {
             s.map_or("none".into(), |s| format!("after {}", Span(s)))
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,6 +1,6 @@
-//! The configuration: decoded once, into the few values that the program uses. Unknown keys are skipped.
+//! Decodes the frontends' configurations into the values that the program uses. Unknown keys are ignored.
 //!
-//! The keys are an interface; the fields they are decoded into carry the code's own names.
+//! The keys are an external interface; the fields that they are decoded into have their own names.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,114 +14,114 @@
 /// Why a configuration cannot be decoded.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigError {
-    /// The text is no JSON.
+    /// The text is not JSON.
     #[error("not JSON: {0}")]
     NotJson(String),
-    /// A value must be an object.
+    /// A value that must be an object has another type.
     #[error("{0} is not an object")]
     NotAnObject(String),
-    /// A key must be there.
+    /// A required key is missing.
     #[error("'{0}' is missing")]
     Missing(String),
-    /// A key's value is of another type.
+    /// The value of a key has the wrong type.
     #[error("'{key}' is not {expected}")]
     WrongType {
         /// The key.
         key: String,
-        /// What it must be.
+        /// The expected type, with its article.
         expected: &'static str,
     },
     /// A count or a time is negative.
     #[error("'{0}' is negative")]
     Negative(String),
-    /// The DNS-SD service names no transport.
+    /// The DNS-SD service name contains no transport.
     #[error("'service' names neither _udp nor _tcp")]
     NoTransport,
-    /// There is no class.
+    /// No class is configured.
     #[error("'services' is missing or empty")]
     NoClasses,
-    /// The pools of a class are no list.
+    /// The pools of a class are not a list.
     #[error("a class's pools are not a list")]
     PoolsNotAList,
-    /// A pool of a class is no number.
+    /// A pool of a class is not a number.
     #[error("a pool is not a number")]
     PoolNotANumber,
-    /// A server's state is unknown.
+    /// A server's lifecycle state is unknown.
     #[error("'lifecycle' is '{0}'")]
     UnknownLifecycle(String),
 }
 
-/// What a gatekeeper is told at its start.
+/// The configuration of the platform frontend.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name.
+    /// Name of the gatekeeper.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which it accepts clients.
     pub listen: SocketAddr,
-    /// For random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
     /// Maximum number of file descriptors.
     pub max_sockets: usize,
-    /// The resolver.
+    /// Address of the DNS resolver.
     pub dns: SocketAddr,
-    /// The number of the list's last event.
+    /// Sequence number of the last event of the endpoint list.
     pub list_seq: u32,
-    /// The list's events up to that one.
+    /// Events of the endpoint list up to `list_seq`.
     pub list_events: Vec<(EndpointListScope, Vec<ListedServer>)>,
-    /// The decision module's settings.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// Names of the classes, by their place in the settings.
+    /// Names of the classes, by their index in the settings.
     pub classes: Vec<String>,
-    /// Connections to servers are bounded by this.
+    /// Timeout for connecting to a server.
     pub dial_timeout: Micros,
-    /// The longest time that a class's callers wait, by its place in the settings.
+    /// Maximum time that callers wait, by the index of their class in the settings.
     pub max_waits: Vec<Micros>,
-    /// Where operators connect; `None`: nowhere.
+    /// Address of the admin listener; `None` if it is disabled.
     pub admin_address: Option<SocketAddr>,
 }
 
-/// What the SIP front is told.
+/// The configuration of the SIP frontend.
 #[derive(Clone, Debug)]
 pub struct SipConfig {
-    /// Its name.
+    /// Name of the gatekeeper.
     pub name: String,
-    /// Where it listens over UDP.
+    /// Address on which it listens over UDP.
     pub udp: SocketAddr,
-    /// Where it listens over TCP.
+    /// Address on which it listens over TCP.
     pub tcp: SocketAddr,
-    /// The resolver.
+    /// Address of the DNS resolver.
     pub dns: SocketAddr,
-    /// The DNS-SD service whose instances are the servers, as in `_sip._udp.pool.lan`; its second label is
-    /// the transport towards them.
+    /// The DNS-SD service whose instances are the servers, such as `_sip._udp.pool.lan`. Its second label is the transport
+    /// used to reach them.
     pub service: String,
-    /// For random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
     /// T1 of RFC 3261.
     pub t1: Micros,
-    /// How long a caller waits at most.
+    /// Maximum time that a caller waits.
     pub max_wait: Micros,
-    /// The decision module's settings.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// Names of the classes, by their place in the settings.
+    /// Names of the classes, by their index in the settings.
     pub classes: Vec<String>,
-    /// TCP connections are bounded by this.
+    /// Timeout for opening a TCP connection.
     pub dial_timeout: Micros,
-    /// Where operators connect; `None`: nowhere.
+    /// Address of the admin listener; `None` if it is disabled.
     pub admin_address: Option<SocketAddr>,
 }
 
-/// A JSON object, read by key. Errors name the key.
+/// A JSON object with typed access by key. Errors name the key.
 pub struct Object<'a>(&'a HashMap<String, JsonValue>);
 
 impl Config {
-    /// What the installation permits.
+    /// The limits that the installation sets.
     pub fn ceilings(&self) -> Ceilings {
         Ceilings::from_settings(&self.settings, &self.classes, &self.max_waits, true)
     }
 }
 
 impl SipConfig {
-    /// What the installation permits.
+    /// The limits that the installation sets.
     pub fn ceilings(&self) -> Ceilings {
         Ceilings::from_settings(
             &self.settings,
@@ -133,40 +133,40 @@
 }
 
 impl<'a> Object<'a> {
-    /// Takes a value that must be an object.
+    /// Wraps a value that must be an object. Errors refer to the value as `what`.
     pub fn from_json(value: &'a JsonValue, what: &str) -> Result<Self, ConfigError> {
         value.get().map(Object).ok_or_else(|| ConfigError::NotAnObject(what.to_string()))
     }
 
-    /// The value of a key that must be there.
+    /// Returns the value of a required key.
     pub fn require(&self, key: &str) -> Result<&'a JsonValue, ConfigError> {
         self.0.get(key).ok_or_else(|| ConfigError::Missing(key.to_string()))
     }
 
-    /// A text that must be there.
+    /// Returns a required string.
     pub fn text(&self, key: &str) -> Result<&'a str, ConfigError> {
         let text = self.require(key)?.get::<String>();
         text.map(String::as_str).ok_or_else(|| wrong_type(key, "a text"))
     }
 
-    /// An address that must be there.
+    /// Returns a required address.
     pub fn address(&self, key: &str) -> Result<SocketAddr, ConfigError> {
         self.text(key)?.parse().map_err(|_| wrong_type(key, "an address"))
     }
 
-    /// An address, where the key is there.
+    /// Returns an address, or `None` if the key is absent.
     fn optional_address(&self, key: &str) -> Result<Option<SocketAddr>, ConfigError> {
         if self.0.contains_key(key) { self.address(key).map(Some) } else { Ok(None) }
     }
 
-    /// A number, or 0 where the key is absent.
+    /// Returns a number, or 0 if the key is absent.
     pub fn number(&self, key: &str) -> Result<f64, ConfigError> {
         let Some(value) = self.0.get(key) else { return Ok(0.0) };
         let number = value.get::<f64>().copied().filter(|n| n.is_finite());
         number.ok_or_else(|| wrong_type(key, "a number"))
     }
 
-    /// A count or a time, or 0 where the key is absent.
+    /// Returns a count or a time, or 0 if the key is absent.
     pub fn count(&self, key: &str) -> Result<u64, ConfigError> {
         let number = self.number(key)?;
         if number < 0.0 { Err(ConfigError::Negative(key.to_string())) } else { Ok(number as u64) }
@@ -176,7 +176,7 @@
         self.0.get(key).and_then(|v| v.get::<bool>()).copied().unwrap_or(false)
     }
 
-    /// A list, empty where the key is absent.
+    /// Returns a list, or an empty one if the key is absent.
     pub fn list(&self, key: &str) -> Result<&'a [JsonValue], ConfigError> {
         let Some(value) = self.0.get(key) else { return Ok(&[]) };
         let list = value.get::<Vec<JsonValue>>();
@@ -192,7 +192,7 @@
     ConfigError::WrongType { key: key.to_string(), expected }
 }
 
-/// Reads the seed of the random numbers.
+/// Decodes the seed of the random number generator.
 fn decode_seed(top: &Object) -> Result<u64, ConfigError> {
     u64::from_str_radix(top.text("seed")?, 16).map_err(|_| wrong_type("seed", "hexadecimal"))
 }
@@ -201,22 +201,22 @@
     text.parse().map_err(|e: tinyjson::JsonParseError| ConfigError::NotJson(e.to_string()))
 }
 
-/// Decodes a configuration.
+/// Decodes the platform frontend's configuration.
 pub fn decode(text: &str) -> Result<Config, ConfigError> {
     let json = parse(text)?;
     let top = Object::from_json(&json, "the configuration")?;
     let seed = decode_seed(&top)?;
     let settings = top.object("settings")?;
-    let known = top.object("known")?;
-    let (classes, max_waits) = class_names(&settings)?;
+    let list_state = top.object("known")?;
+    let (classes, max_waits) = decode_classes(&settings)?;
     Ok(Config {
         name: top.text("name")?.to_string(),
         listen: top.address("listen")?,
         seed,
         max_sockets: top.object("limits")?.count("sockets")? as usize,
         dns: top.address("dns")?,
-        list_seq: known.count("seq")? as u32,
-        list_events: events(&known)?,
+        list_seq: list_state.count("seq")? as u32,
+        list_events: decode_list_events(&list_state)?,
         settings: decode_settings(&settings)?,
         classes,
         dial_timeout: settings.object("ceilings")?.count("dial-timeout-us")?,
@@ -225,14 +225,14 @@
     })
 }
 
-/// Decodes the SIP front's configuration.
+/// Decodes the SIP frontend's configuration.
 pub fn decode_sip(text: &str) -> Result<SipConfig, ConfigError> {
     let json = parse(text)?;
     let top = Object::from_json(&json, "the configuration")?;
     let settings = top.object("settings")?;
-    let (classes, max_waits) = class_names(&settings)?;
+    let (classes, max_waits) = decode_classes(&settings)?;
     let longest_wait = max_waits.iter().copied().max().unwrap_or(0);
-    let or = |given: u64, default: u64| if given > 0 { given } else { default };
+    let or_default = |value: u64, default: u64| if value > 0 { value } else { default };
     let service = top.text("service")?;
     if !service.split('.').any(|label| label == "_udp" || label == "_tcp") {
         return Err(ConfigError::NoTransport);
@@ -244,8 +244,8 @@
         dns: top.address("dns")?,
         service: service.to_string(),
         seed: decode_seed(&top)?,
-        t1: or(top.count("t1_ms")?, 500).min(60_000) * 1000,
-        max_wait: or(top.count("wait_ms")?.min(3_600_000) * 1000, longest_wait),
+        t1: or_default(top.count("t1_ms")?, 500).min(60_000) * 1000,
+        max_wait: or_default(top.count("wait_ms")?.min(3_600_000) * 1000, longest_wait),
         settings: decode_settings(&settings)?,
         classes,
         dial_timeout: settings.object("ceilings")?.count("dial-timeout-us")?,
@@ -253,8 +253,8 @@
     })
 }
 
-/// The classes' names, and the longest time that their callers wait.
-fn class_names(settings: &Object) -> Result<(Vec<String>, Vec<Micros>), ConfigError> {
+/// Decodes the names of the classes and the maximum time that their callers wait.
+fn decode_classes(settings: &Object) -> Result<(Vec<String>, Vec<Micros>), ConfigError> {
     let (mut names, mut max_waits) = (Vec::new(), Vec::new());
     for service in settings.list("services")? {
         let service = Object::from_json(service, "a service")?;
@@ -265,7 +265,7 @@
 }
 
 fn decode_settings(settings: &Object) -> Result<Settings, ConfigError> {
-    let (limits, figures) = (settings.object("ceilings")?, settings.object("rules")?);
+    let (limits, rules) = (settings.object("ceilings")?, settings.object("rules")?);
     let domain = settings.object("domain")?;
     let pools = domain.list("allowed-pools")?;
     let mut classes = Vec::new();
@@ -276,7 +276,7 @@
             latency_objective: service.count("aim-us")?,
             priority_weight: service.number("worth")?,
             late_weight_share: service.number("late-worth")?,
-            pools: pools.get(n).map(pool_list).transpose()?,
+            pools: pools.get(n).map(decode_pools).transpose()?,
             is_idempotent: effect.is_none_or(|e| e == "read_like"),
         });
     }
@@ -296,41 +296,43 @@
         max_retry_after: limits.count("max-retry-after-us")?,
         polls_endpoint_list: discovery.is_some_and(|d| d == "on_request"),
         rules: Rules {
-            answer_slack: figures.count("answer-slack-us")?,
-            drain_grace: figures.count("drain-grace-us")?,
+            answer_slack: rules.count("answer-slack-us")?,
+            drain_grace: rules.count("drain-grace-us")?,
             release_wait: domain.count("clear-wait-us")?,
-            initial_capacity: figures.number("start-capacity")?,
-            warm_up_duration: figures.count("warm-up-us")?,
-            overload_multiple: figures.number("tip-multiple")?,
-            overload_window: figures.count("fall-us")?,
+            initial_capacity: rules.number("start-capacity")?,
+            warm_up_duration: rules.count("warm-up-us")?,
+            overload_multiple: rules.number("tip-multiple")?,
+            overload_window: rules.count("fall-us")?,
         },
     })
 }
 
-fn pool_list(value: &JsonValue) -> Result<Vec<PoolId>, ConfigError> {
+fn decode_pools(value: &JsonValue) -> Result<Vec<PoolId>, ConfigError> {
     let list = value.get::<Vec<JsonValue>>().ok_or(ConfigError::PoolsNotAList)?;
     let pool = |v: &JsonValue| v.get::<f64>().map(|n| PoolId(*n as i64));
     list.iter().map(|v| pool(v).ok_or(ConfigError::PoolNotANumber)).collect()
 }
 
-/// The events that the list has gone through: the first is the whole list, later ones changed lines, unless
-/// they say that they start anew.
-fn events(known: &Object) -> Result<Vec<(EndpointListScope, Vec<ListedServer>)>, ConfigError> {
+/// Decodes the events of the endpoint list. The first contains the complete list; later ones contain the changed lines,
+/// or the complete list again if `reset` is set.
+fn decode_list_events(
+    list_state: &Object,
+) -> Result<Vec<(EndpointListScope, Vec<ListedServer>)>, ConfigError> {
     let mut events = Vec::new();
-    for (n, event) in known.list("results")?.iter().enumerate() {
+    for (n, event) in list_state.list("results")?.iter().enumerate() {
         let fleet = Object::from_json(event, "an event")?.object("fleet")?;
         let scope = match (n, fleet.flag("reset")) {
             (0, _) => EndpointListScope::Restored,
             (_, true) => EndpointListScope::Complete,
             _ => EndpointListScope::Changes,
         };
-        let lines = fleet.list("instances")?.iter().map(listed).collect::<Result<_, ConfigError>>()?;
+        let lines = fleet.list("instances")?.iter().map(decode_server).collect::<Result<_, ConfigError>>()?;
         events.push((scope, lines));
     }
     Ok(events)
 }
 
-fn listed(line: &JsonValue) -> Result<ListedServer, ConfigError> {
+fn decode_server(line: &JsonValue) -> Result<ListedServer, ConfigError> {
     let line = Object::from_json(line, "a server")?;
     let status = match line.text("lifecycle")? {
         "in_service" => ServerStatus::Up,
@@ -338,12 +340,12 @@
         "terminated" => ServerStatus::Removed,
         other => return Err(ConfigError::UnknownLifecycle(other.to_string())),
     };
-    // A machine that is gone need not have an address any more.
-    let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
+    // A removed server may have no address.
+    let unspecified = SocketAddr::from(([0, 0, 0, 0], 0));
     let address = line.address("hostPort");
     Ok(ListedServer {
         id: line.text("instanceId")?.into(),
-        address: if status == ServerStatus::Removed { address.unwrap_or(nowhere) } else { address? },
+        address: if status == ServerStatus::Removed { address.unwrap_or(unspecified) } else { address? },
         pool: PoolId(line.number("cell")? as i64),
         started_at: line.count("startedAtMs")?.saturating_mul(1000),
         status,
--- a/src/config_check.rs
+++ b/src/config_check.rs
@@ -1,5 +1,5 @@
-//! Validation of the SIP frontend's configuration: its keys, and values that would break a rule. Findings have the form of
-//! those on the operators' file: all are reported at once, each with its location and a remedy.
+//! Validates the SIP frontend's configuration: its keys, and values that would violate a rule. Findings are reported as for
+//! the operators' file: all in one run, each with its location and a remedy.
 //!
 //! The platform's own configuration is not validated here: unknown keys in it are ignored.
 
@@ -15,11 +15,11 @@
 
 /// Longest time in which sends to a draining server must end, in microseconds.
 const MAX_DRAIN_GRACE: u64 = 250_000;
-/// The longest time that a setting may name, in microseconds: an hour.
+/// Upper bound of every time in the settings, in microseconds: one hour.
 const MAX_TIME: u64 = 3_600_000_000;
 /// Permitted values of SIP's timer T1.
 const T1_RANGE_MS: RangeInclusive<u64> = 1..=60_000;
-/// Permitted values of the time that callers wait.
+/// Permitted values of the maximum time that callers wait.
 const WAIT_RANGE_MS: RangeInclusive<u64> = 1..=3_600_000;
 
 #[derive(Deserialize)]
@@ -42,7 +42,7 @@
     settings: Settings,
 }
 
-/// The settings' object, as on the platform; what the front has no use for may stand in it too.
+/// The `settings` object, in the same format as the platform's. Keys that the SIP frontend does not use are accepted.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 struct Settings {
@@ -99,7 +99,7 @@
     worth: f64,
     #[serde(default)]
     late_worth: f64,
-    /// Only that it is one of the three.
+    /// Not used; decoded only to check that it is one of the known values.
     #[serde(default, rename = "effect")]
     _effect: Option<Effect>,
     #[serde(default, rename = "aim-stretch")]
@@ -188,18 +188,18 @@
     _this_node: IgnoredAny,
 }
 
-/// The report on a SIP configuration with this file name and text.
+/// Checks the text of a SIP configuration. `name` is the file name used in the report.
 pub fn check_sip(name: &str, text: &str) -> Report {
     ops::check_text(name, text, |value, findings| {
-        let faults = findings.len();
+        let parse_findings = findings.len();
         let file = ops::decode::<File>(value, &Path::default(), findings);
-        if let (Some(file), true) = (file, faults == findings.len()) {
+        if let (Some(file), true) = (file, parse_findings == findings.len()) {
             check(&file, findings);
         }
     })
 }
 
-/// Checks the values, each rule in the order of the file.
+/// Checks all values for violated rules.
 fn check(file: &File, findings: &mut Vec<Finding>) {
     let mut check = Check { findings };
     let settings = Path::of("settings");
@@ -210,7 +210,12 @@
     check.classes(&file.settings.services, &settings.key("services"));
     if file.settings.domain.allowed_pools.len() > file.settings.services.len() {
         let at = settings.key("domain").key("allowed-pools");
-        check.report(at, "order", "there are more lists of pools than classes", "write one list a class");
+        check.report(
+            at,
+            "order",
+            "there are more lists of pools than classes",
+            "write at most one list per class",
+        );
     }
 }
 
@@ -225,20 +230,20 @@
 
     fn top_level(&mut self, file: &File) {
         if u64::from_str_radix(&file.seed, 16).is_err() {
-            let text = "the seed is no hexadecimal number";
+            let text = "the seed is not a hexadecimal number";
             self.report(Path::of("seed"), "seed", text, "write up to 16 hex digits");
         }
         if !file.service.split('.').any(|label| label == "_udp" || label == "_tcp") {
-            let text = "the service names neither _udp nor _tcp, so the way to its servers is not known";
+            let text = "the service names neither _udp nor _tcp, so the transport to its servers is unknown";
             self.report(Path::of("service"), "service", text, "write it as in _sip._udp.pool.lan");
         }
         if file.t1_ms.is_some_and(|t1| !T1_RANGE_MS.contains(&t1)) {
-            let text = "T1 of RFC 3261 is 1 to 60000 ms";
+            let text = "T1 of RFC 3261 must be 1 to 60000 ms";
             self.report(Path::of("t1_ms"), "range", text, "write 500, or leave it out");
         }
         if file.wait_ms.is_some_and(|wait| !WAIT_RANGE_MS.contains(&wait)) {
-            let text = "callers wait 1 to 3600000 ms";
-            self.report(Path::of("wait_ms"), "range", text, "write how long they wait at most");
+            let text = "the time that callers wait must be 1 to 3600000 ms";
+            self.report(Path::of("wait_ms"), "range", text, "write the longest time that they wait");
         }
     }
 
@@ -246,12 +251,12 @@
     fn bounds(&mut self, settings: &Settings, at: &Path) {
         let attempts = settings.ceilings.max_attempts;
         if !(1..=MAX_ATTEMPTS).contains(&attempts) {
-            let text = format!("{attempts} attempts, and a call may have {MAX_ATTEMPTS} at most");
+            let text = format!("{attempts} attempts; a call may have at most {MAX_ATTEMPTS}");
             self.report(at.key("ceilings").key("max-attempts"), "attempts", text, "write 1 to 4");
         }
         let release_wait = settings.domain.clear_wait_us;
         if release_wait < MIN_PAUSE {
-            let text = format!("a release wait of {release_wait} us, and the rule asks for {MIN_PAUSE}");
+            let text = format!("a release wait of {release_wait} us; the minimum is {MIN_PAUSE}");
             self.report(at.key("domain").key("clear-wait-us"), "pause", text, "write 500000 or more");
         }
     }
@@ -262,14 +267,19 @@
             self.report(at.key("drain-grace-us"), "drain", text, "write 250000 or less");
         }
         if !(rules.start_capacity > 0.0 && rules.start_capacity <= 1.0) {
-            let text = "a share of capacity is over 0 and up to 1";
+            let text = "the initial share of capacity must be greater than 0 and at most 1";
             self.report(at.key("start-capacity"), "range", text, "write as in 0.29");
         }
         if !(rules.tip_multiple > 0.0 && rules.tip_multiple.is_finite()) {
-            self.report(at.key("tip-multiple"), "range", "the multiple is over 0", "write as in 2.0");
+            self.report(
+                at.key("tip-multiple"),
+                "range",
+                "the multiple must be greater than 0",
+                "write as in 2.0",
+            );
         }
         if rules.fall_us == 0 {
-            let text = "a server that falls at once could be sent nothing";
+            let text = "with an overload window of 0, a server could be sent no attempts";
             self.report(at.key("fall-us"), "zero", text, "write as in 1000000");
         }
     }
@@ -291,14 +301,14 @@
             self.report(at, "range", text, "write it in microseconds, at most 3600000000");
         }
         if dial_timeout == 0 {
-            let text = "no connection comes up in no time";
+            let text = "a connection cannot be established with a timeout of 0";
             self.report(ceilings.key("dial-timeout-us"), "zero", text, "write as in 500000");
         }
     }
 
     fn classes(&mut self, classes: &[Service], at: &Path) {
         if classes.is_empty() {
-            let text = "without a class there are no calls";
+            let text = "at least one class is required";
             self.report(at.clone(), "zero", text, "write one class or more");
         }
         let mut names = HashSet::new();
@@ -306,7 +316,7 @@
             let at = at.index(n);
             if !names.insert(class.name.as_str()) {
                 let text = format!("two classes have the name '{}'", class.name);
-                self.report(at.key("name"), "name", text, "give each its own");
+                self.report(at.key("name"), "name", text, "give each class its own name");
             }
             self.class(class, &at);
         }
@@ -314,17 +324,17 @@
 
     fn class(&mut self, class: &Service, at: &Path) {
         if class.hard_limit_us == 0 || class.hard_limit_us > MAX_TIME {
-            let text = "callers of a class wait more than nothing and up to an hour";
+            let text = "the time that callers of a class wait must be greater than 0 and at most one hour";
             self.report(at.key("hard-limit-us"), "range", text, "write microseconds, as in 9000000");
         } else if class.aim_us > class.hard_limit_us {
-            let text = "the aim is later than the caller waits, so no call could miss it";
+            let text = "the latency objective exceeds the time that callers wait, so no call could miss it";
             self.report(at.key("aim-us"), "order", text, "write hard-limit-us or less");
         }
         if !(class.worth >= 0.0 && class.worth.is_finite()) {
-            self.report(at.key("worth"), "range", "a call is worth 0 or more", "write as in 1.0");
+            self.report(at.key("worth"), "range", "the worth of a call must be 0 or more", "write as in 1.0");
         }
         if !(0.0..=1.0).contains(&class.late_worth) {
-            let text = "a late call is worth a share, 0 to 1";
+            let text = "the worth of a late call must be a share from 0 to 1";
             self.report(at.key("late-worth"), "range", text, "write as in 0.25");
         }
     }
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,8 +1,9 @@
-//! The log: one `tracing` subscriber for the whole program, set up by `main` and never waited for.
+//! The log: one `tracing` subscriber for the whole program, set up by `main`. Logging never blocks.
 //!
-//! Lines go to standard error through a bounded queue and a thread of its own (`tracing-appender`), so that a reader
-//! that has stopped costs lines and no calls. A call site that repeats itself is limited: a fault that comes with
-//! every call must not bury what else is said. `debug` and `trace` are not limited: who asks for them wants all.
+//! Lines go to standard error through a bounded queue and a separate thread (`tracing-appender`). If the reader of standard
+//! error stops, lines are dropped and calls are not affected. Lines at `info` and above are rate-limited per call site, so
+//! that an error that occurs with every call does not hide other lines. `debug` and `trace` lines are not limited, since
+//! they are enabled to see every event.
 
 use std::collections::HashMap;
 use std::io;
@@ -20,21 +21,21 @@
 
 use crate::ops;
 
-/// Lines that wait to be written; at the bound further ones are dropped.
-const WAITING_LINES: usize = 4_096;
-/// Lines of one call site within [`PERIOD`]; further ones are dropped.
-const LINES_A_SITE: u32 = 50;
-/// See [`LINES_A_SITE`].
-const PERIOD: Duration = Duration::from_secs(1);
+/// Maximum number of queued lines; further ones are dropped.
+const MAX_QUEUED_LINES: usize = 4_096;
+/// Maximum number of lines per call site within [`RATE_PERIOD`]; further ones are dropped.
+const MAX_LINES_PER_SITE: u32 = 50;
+/// The period of the rate limit; see [`MAX_LINES_PER_SITE`].
+const RATE_PERIOD: Duration = Duration::from_secs(1);
 
-/// How lines are written.
+/// Format of the lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Deserialize, schemars::JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Form {
-    /// For people.
+    /// Human-readable text.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
@@ -54,9 +55,9 @@
     }
 }
 
-/// A text that names no form of the log.
+/// Not the name of a log format.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("'{0}' is no form of the log; write text or json")]
+#[error("'{0}' is not a log format; write text or json")]
 pub struct InvalidForm(String);
 
 impl FromStr for Form {
@@ -71,20 +72,20 @@
     }
 }
 
-/// Which lines are written, and how.
+/// Settings of the log.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// Levels, by target where they differ: `info`, or `info,call=debug`. Nothing: `info`.
+    /// Levels, optionally per target: `info`, or `info,call=debug`. The default is `info`.
     pub levels: Option<Levels>,
-    /// How they are written; nothing: as text.
+    /// Format of the lines. The default is text.
     pub form: Option<Form>,
 }
 
 impl Settings {
-    /// These, or where they say nothing the others.
+    /// Fills settings that are not set from `fallback`.
     #[must_use]
-    pub fn or(self, other: Settings) -> Settings {
-        Settings { levels: self.levels.or(other.levels), form: self.form.or(other.form) }
+    pub fn or(self, fallback: Settings) -> Settings {
+        Settings { levels: self.levels.or(fallback.levels), form: self.form.or(fallback.form) }
     }
 }
 
@@ -92,18 +93,18 @@
 #[derive(Clone, Debug, Default, serde::Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Section {
-    /// A level (`error`, `warn`, `info`, `debug`, `trace`, `off`), or `TARGET=LEVEL`, with commas between.
+    /// A level (`error`, `warn`, `info`, `debug`, `trace`, `off`), or `TARGET=LEVEL`, separated by commas.
     pub level: Option<Levels>,
     /// `text` or `json`.
     pub format: Option<Form>,
 }
 
-/// The section while the file is being read.
+/// The section as decoded so far.
 #[derive(Debug, Default)]
 pub struct Draft(Option<Section>);
 
 impl Draft {
-    /// What it says.
+    /// The settings of the section.
     pub fn settings(self) -> Settings {
         let section = self.0.unwrap_or_default();
         Settings { levels: section.level, form: section.format }
@@ -120,26 +121,26 @@
     }
 }
 
-/// Levels by target.
+/// Log levels per target.
 #[derive(Clone, Debug)]
 pub struct Levels(Targets);
 
-/// What a text of levels may be.
+/// Describes the format of [`Levels`]; part of error messages.
 const LEVELS_HINT: &str =
-    "write a level (error, warn, info, debug, trace, off), or TARGET=LEVEL, with commas between";
+    "write a level (error, warn, info, debug, trace, off), or TARGET=LEVEL, separated by commas";
 
-/// A text that names no levels of the log.
+/// Why a text is not a list of log levels.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidLevels {
-    /// A word is no level.
+    /// A word is not a level.
     #[error("'{0}' is no level of the log; {LEVELS_HINT}")]
     NoLevel(String),
-    /// The whole cannot be read.
-    #[error("'{text}' names no levels of the log ({source}); {LEVELS_HINT}")]
+    /// The text cannot be parsed.
+    #[error("'{text}' is not a list of log levels ({source}); {LEVELS_HINT}")]
     Unreadable {
         /// The text.
         text: String,
-        /// Why.
+        /// The cause.
         source: tracing_subscriber::filter::ParseError,
     },
 }
@@ -148,7 +149,8 @@
     type Err = InvalidLevels;
 
     fn from_str(text: &str) -> Result<Levels, InvalidLevels> {
-        // A word alone is a level: as a target it would turn everything on there, which no one means to ask for.
+        // A word without `=` must be a level. `Targets` would take it as a target and enable all levels for it, so a
+        // misspelt level would go unnoticed.
         if let Some(word) = text.split(',').find(|w| !w.contains('=') && w.parse::<LevelFilter>().is_err()) {
             return Err(InvalidLevels::NoLevel(word.to_string()));
         }
@@ -157,12 +159,12 @@
     }
 }
 
-/// Sets the program's log up. What is queued is written when the guard is dropped.
+/// Installs the global subscriber. Queued lines are written when the guard is dropped.
 ///
 /// # Errors
-/// Where the log is set up already.
+/// If a global subscriber is already installed.
 pub fn start(settings: Settings) -> Result<WorkerGuard, TryInitError> {
-    let queue = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(WAITING_LINES);
+    let queue = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_QUEUED_LINES);
     let (writer, guard) = queue.finish(io::stderr());
     let lines =
         tracing_subscriber::fmt::layer().with_ansi(false).with_writer(writer).log_internal_errors(false);
@@ -171,36 +173,38 @@
         Form::Json => lines.json().flatten_event(true).boxed(),
     };
     let levels = settings.levels.map_or_else(|| Targets::new().with_default(Level::INFO), |l| l.0);
-    let subscriber = tracing_subscriber::registry().with(lines).with(Limit::default()).with(levels);
+    let subscriber = tracing_subscriber::registry().with(lines).with(RateLimit::default()).with(levels);
     subscriber.try_init()?;
     Ok(guard)
 }
 
-/// Lets so many lines of a call site pass a period, and no more.
+/// Limits the lines per call site to [`MAX_LINES_PER_SITE`] within [`RATE_PERIOD`].
 #[derive(Debug, Default)]
-struct Limit {
+struct RateLimit {
+    /// Start of the period and number of lines within it, by call site.
     sites: Mutex<HashMap<Identifier, (Instant, u32)>>,
 }
 
-impl Limit {
-    /// One more line of this site at `now`: whether it passes.
-    fn passes(&self, site: Identifier, now: Instant) -> bool {
+impl RateLimit {
+    /// Counts a line of this call site at `now` and returns whether it is written.
+    fn allows(&self, site: Identifier, now: Instant) -> bool {
         let mut sites = self.sites.lock().unwrap_or_else(PoisonError::into_inner);
-        let (since, lines) = sites.entry(site).or_insert((now, 0));
-        if now.saturating_duration_since(*since) >= PERIOD {
-            (*since, *lines) = (now, 0);
+        let (period_start, lines) = sites.entry(site).or_insert((now, 0));
+        if now.saturating_duration_since(*period_start) >= RATE_PERIOD {
+            (*period_start, *lines) = (now, 0);
         }
         *lines += 1;
-        *lines <= LINES_A_SITE
+        *lines <= MAX_LINES_PER_SITE
     }
 }
 
-/// For the whole stack. As one layer's own filter it leaves that layer's mark set when it turns an event down, and the next
-/// event trips over it: the program's end in a build with assertions.
-impl<S: Subscriber> Layer<S> for Limit {
+/// Applied as a layer, so that it filters for the whole subscriber. As the filter of a single layer it would leave that
+/// layer's per-event filter state set when it rejects an event, and the next event would then fail an assertion in builds
+/// with debug assertions.
+impl<S: Subscriber> Layer<S> for RateLimit {
     fn event_enabled(&self, event: &tracing::Event<'_>, _: Context<'_, S>) -> bool {
-        let about = event.metadata();
-        *about.level() > Level::INFO || self.passes(about.callsite(), Instant::now())
+        let metadata = event.metadata();
+        *metadata.level() > Level::INFO || self.allows(metadata.callsite(), Instant::now())
     }
 }
 
--- a/src/ops/decode.rs
+++ b/src/ops/decode.rs
@@ -1,4 +1,4 @@
-//! From text to values: JSON with comments and trailing commas, read once, with every fault found in one go.
+//! Parses JSON with comments and trailing commas, and decodes it into values. All errors are reported in one run.
 
 use jsonc_parser::ast::{self, ObjectPropName};
 use jsonc_parser::common::Ranged;
@@ -9,13 +9,13 @@
 
 use super::finding::{Finding, Path, Step};
 
-/// The largest file.
+/// Maximum size of a file, in bytes.
 pub const MAX_BYTES: usize = 32 * 1024 * 1024;
-/// Most faults of one value that are looked for.
-const MAX_FAULTS: usize = 32;
+/// Maximum number of errors that are reported for one value.
+const MAX_ERRORS: usize = 32;
 
-/// JSON with comments and trailing commas; what else JSON5 has, but no missing commas.
-const FORM: ParseOptions = ParseOptions {
+/// JSON5 syntax, with comments and trailing commas. Missing commas are errors.
+const PARSE_OPTIONS: ParseOptions = ParseOptions {
     allow_comments: true,
     allow_loose_object_property_names: true,
     allow_trailing_commas: true,
@@ -28,23 +28,24 @@
     allow_extended_string_escapes: true,
 };
 
-/// A text that could be read as JSON.
-pub struct Tree<'a> {
+/// The syntax tree of a text that is valid JSON.
+pub struct SyntaxTree<'a> {
     root: ast::Value<'a>,
 }
 
-/// Reads a text. An error is a message and the range that it is about.
-pub fn parse(text: &str) -> Result<Tree<'_>, (String, (usize, usize))> {
-    let parsed = parse_to_ast(text, &CollectOptions::default(), &FORM);
+/// Parses a text. An error consists of a message and the byte range that it refers to.
+pub fn parse(text: &str) -> Result<SyntaxTree<'_>, (String, (usize, usize))> {
+    let parsed = parse_to_ast(text, &CollectOptions::default(), &PARSE_OPTIONS);
     let parsed = parsed.map_err(|e| (e.kind().to_string(), (e.range().start, e.range().end)))?;
     match parsed.value {
-        Some(root) => Ok(Tree { root }),
+        Some(root) => Ok(SyntaxTree { root }),
         None => Err(("the file is empty".to_string(), (0, 0))),
     }
 }
 
-impl<'a> Tree<'a> {
-    /// Where a path's value stands; a key that is missing or unknown counts as its object's start or its own name.
+impl<'a> SyntaxTree<'a> {
+    /// Returns the byte range of the value at a path. For a missing key this is the start of its object, and for an
+    /// unknown key the key itself.
     pub fn locate(&self, path: &Path) -> Option<(usize, usize)> {
         let mut at = &self.root;
         for step in &path.0 {
@@ -71,7 +72,7 @@
         Some((range.start, range.end))
     }
 
-    /// The value as serde has it. Keys that stand twice are findings.
+    /// Converts the tree into a serde value. Duplicate keys and numbers that cannot be represented are reported.
     pub fn value(&self, findings: &mut Vec<Finding>) -> Value {
         convert(&self.root, &Path::default(), findings)
     }
@@ -80,9 +81,9 @@
 fn convert(node: &ast::Value, at: &Path, findings: &mut Vec<Finding>) -> Value {
     match node {
         ast::Value::StringLit(text) => Value::String(text.value.to_string()),
-        ast::Value::NumberLit(number) => number_of(number.value).map_or_else(
+        ast::Value::NumberLit(number) => parse_number(number.value).map_or_else(
             || {
-                let text = format!("{} is no number that can be kept", number.value);
+                let text = format!("{} is a number that cannot be represented", number.value);
                 findings.push(Finding::error("number", at.clone(), text, "write a plain decimal number"));
                 Value::Null
             },
@@ -112,21 +113,21 @@
     }
 }
 
-fn number_of(text: &str) -> Option<Number> {
+fn parse_number(text: &str) -> Option<Number> {
     let plain = text.trim_start_matches('+');
     let (sign, digits) = plain.strip_prefix('-').map_or((1, plain), |rest| (-1, rest));
     if let Some(hex) = digits.strip_prefix("0x").or_else(|| digits.strip_prefix("0X")) {
         return i64::from_str_radix(hex, 16).ok().map(|n| Number::from(sign * n));
     }
-    let whole = plain.parse::<i64>().map(Number::from).or_else(|_| plain.parse::<u64>().map(Number::from));
-    whole.ok().or_else(|| plain.parse::<f64>().ok().and_then(Number::from_f64))
+    let integer = plain.parse::<i64>().map(Number::from).or_else(|_| plain.parse::<u64>().map(Number::from));
+    integer.ok().or_else(|| plain.parse::<f64>().ok().and_then(Number::from_f64))
 }
 
-/// Decodes one value. What cannot be decoded is noted, taken out, and the rest is looked at again, so that every
-/// fault is found. `None` if nothing is left that could be decoded.
+/// Decodes one value. An element that cannot be decoded is reported and removed, and decoding starts again, so that all
+/// errors are found. Returns `None` if the rest cannot be decoded either.
 pub fn decode<T: DeserializeOwned>(mut value: Value, at: &Path, findings: &mut Vec<Finding>) -> Option<T> {
-    let mut taken: Vec<Vec<Step>> = Vec::new();
-    for _ in 0..MAX_FAULTS {
+    let mut removed: Vec<Vec<Step>> = Vec::new();
+    for _ in 0..MAX_ERRORS {
         let error = match serde_path_to_error::deserialize::<_, T>(&value) {
             Ok(decoded) => return Some(decoded),
             Err(error) => error,
@@ -140,57 +141,57 @@
             }
         }
         let mut full = Path(at.0.iter().chain(&steps).cloned().collect());
-        let said = error.inner().to_string();
-        let missing = said.strip_prefix("missing field `").and_then(|m| m.strip_suffix('`'));
-        let needed = |t: &Vec<Step>| {
+        let message = error.inner().to_string();
+        let missing = message.strip_prefix("missing field `").and_then(|m| m.strip_suffix('`'));
+        let is_missing_field = |path: &Vec<Step>| {
             let name = missing.map(|key| Step::Key(key.to_string()));
-            t.split_last().is_some_and(|(last, before)| Some(last) == name.as_ref() && before == steps)
+            path.split_last().is_some_and(|(last, before)| Some(last) == name.as_ref() && before == steps)
         };
-        if taken.iter().any(needed) {
-            return None; // it was there, wrong, and has been told
+        if removed.iter().any(is_missing_field) {
+            return None; // The field is missing because its invalid value was reported and removed.
         }
-        if let (true, Some(Step::Key(key))) = (said.starts_with("unknown field"), full.0.last().cloned()) {
+        if let (true, Some(Step::Key(key))) = (message.starts_with("unknown field"), full.0.last().cloned()) {
             full.0.pop();
             full = full.name(&key);
         }
-        findings.push(Finding::error("form", full, plain(&said), remedy(&said)));
-        if !take_out(&mut value, &steps) {
+        findings.push(Finding::error("form", full, describe(&message), remedy(&message)));
+        if !remove_at(&mut value, &steps) {
             return None;
         }
-        taken.push(steps);
+        removed.push(steps);
     }
     None
 }
 
-/// What serde says, in the file's own words.
-fn plain(said: &str) -> String {
-    match said.split_once(", expected ") {
-        Some((what, _)) if said.starts_with("unknown field") => {
+/// Rewords serde's error message in terms of the file.
+fn describe(message: &str) -> String {
+    match message.split_once(", expected ") {
+        Some((what, _)) if message.starts_with("unknown field") => {
             format!("there is no setting {}", what.trim_start_matches("unknown field "))
         }
-        _ => said.to_string(),
+        _ => message.to_string(),
     }
 }
 
-fn remedy(said: &str) -> String {
-    if let Some((_, known)) = said.split_once(", expected ") {
+fn remedy(message: &str) -> String {
+    if let Some((_, known)) = message.split_once(", expected ") {
         let known = known.trim_start_matches("one of ").replace('`', "");
         return format!("write {known}");
     }
-    if said.starts_with("missing field") {
+    if message.starts_with("missing field") {
         return "add it".to_string();
     }
-    "see `cobaltspool schema` for what may stand here".to_string()
+    "see `cobaltspool schema` for the values permitted here".to_string()
 }
 
-fn take_out(value: &mut Value, steps: &[Step]) -> bool {
+fn remove_at(value: &mut Value, steps: &[Step]) -> bool {
     let Some((last, before)) = steps.split_last() else { return false };
     let mut at = value;
     for step in before {
         let next = match (step, at) {
             (Step::Key(key), Value::Object(map)) => map.get_mut(key),
             (Step::Index(n), Value::Array(list)) => list.get_mut(*n),
-            _ => None, // a name is no place for a value
+            _ => None, // `Step::Name` refers to a key, which has no value to descend into.
         };
         match next {
             Some(next) => at = next,
--- a/src/ops/finding.rs
+++ b/src/ops/finding.rs
@@ -1,11 +1,11 @@
-//! Findings: what is wrong with a file of the operators', where, and what to write in its place.
+//! Findings: the errors and warnings about an operator's file, with their locations and remedies.
 
 use std::fmt;
 
 use annotate_snippets::{AnnotationKind, Level, Renderer, Snippet};
 use serde::Serialize;
 
-/// Findings that are told one by one; further ones are only counted.
+/// Maximum number of findings in a report; further ones are only counted.
 pub const MAX_REPORTED: usize = 100;
 
 /// A step of a path into the file.
@@ -13,23 +13,23 @@
 pub enum Step {
     /// The value of a key.
     Key(String),
-    /// A place in a list, from 0.
+    /// An index into a list, from 0.
     Index(usize),
-    /// A key itself, where it is the key that is wrong; the last step.
+    /// A key itself, if the key and not its value is wrong. Only permitted as the last step.
     Name(String),
 }
 
-/// A place in the file, as in `limits.routes[3].limits.time_out`.
+/// A path to a value in the file, such as `limits.routes[3].limits.time_out`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Path(pub Vec<Step>);
 
 impl Path {
-    /// The path of one key.
+    /// The path of a top-level key.
     pub fn of(key: &str) -> Path {
         Path::default().key(key)
     }
 
-    /// One key further down.
+    /// Appends a key.
     #[must_use]
     pub fn key(&self, key: &str) -> Path {
         let mut steps = self.0.clone();
@@ -37,7 +37,7 @@
         Path(steps)
     }
 
-    /// One key further down, where the key itself is meant.
+    /// Appends a step that refers to the key itself.
     #[must_use]
     pub fn name(&self, key: &str) -> Path {
         let mut steps = self.0.clone();
@@ -45,7 +45,7 @@
         Path(steps)
     }
 
-    /// One place of a list further down.
+    /// Appends a list index.
     #[must_use]
     pub fn index(&self, n: usize) -> Path {
         let mut steps = self.0.clone();
@@ -66,33 +66,33 @@
     }
 }
 
-/// How much a finding matters.
+/// The severity of a finding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Severity {
     /// The file is refused.
     Error,
-    /// The file is taken; the operators should look.
+    /// The file is accepted, but an operator should review it.
     Warning,
 }
 
-/// Something that is wrong, by the paths of all the locations that make it up.
+/// An error or warning, with the paths of all values that cause it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Finding {
-    /// How much it matters.
+    /// Its severity.
     pub severity: Severity,
-    /// The rule that it breaks, one word a rule.
+    /// The name of the violated rule, a single word.
     pub rule: &'static str,
-    /// What is wrong.
+    /// Description of the problem.
     pub text: String,
-    /// What to write in its place.
+    /// How to correct it.
     pub remedy: String,
-    /// Where, and what that place has to do with it; the main one first.
+    /// The paths involved, each with its role in the finding; the primary one first.
     pub locations: Vec<(Path, String)>,
 }
 
 impl Finding {
-    /// An error at one place.
+    /// An error at one path.
     pub fn error(
         rule: &'static str,
         at: Path,
@@ -103,14 +103,14 @@
         Finding { severity: Severity::Error, rule, text: text.into(), remedy: remedy.into(), locations }
     }
 
-    /// The same as a warning.
+    /// Lowers the severity to a warning.
     #[must_use]
     pub fn warning(mut self) -> Finding {
         self.severity = Severity::Warning;
         self
     }
 
-    /// Made up by this place too.
+    /// Adds a path that is involved in the finding.
     #[must_use]
     pub fn with(mut self, at: Path, what: impl Into<String>) -> Finding {
         self.locations.push((at, what.into()));
@@ -118,18 +118,18 @@
     }
 }
 
-/// One place of a finding, found in the text.
+/// A location of a finding in the text.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct SourceLocation {
-    /// Its path.
+    /// Path of the value.
     pub path: String,
-    /// From 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// From 1, in characters.
+    /// Column number, from 1, in characters.
     pub column: usize,
-    /// What stands there.
+    /// The text at this location.
     pub found: String,
-    /// What it has to do with the finding.
+    /// The role of this location in the finding.
     pub what: String,
     #[serde(skip)]
     range: (usize, usize),
@@ -138,37 +138,37 @@
 /// A finding with its locations in the text.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct LocatedFinding {
-    /// How much it matters.
+    /// Its severity.
     #[serde(rename = "weight")]
     pub severity: Severity,
-    /// The rule that it breaks.
+    /// The name of the violated rule.
     pub rule: &'static str,
-    /// What is wrong.
+    /// Description of the problem.
     pub text: String,
-    /// What to write in its place.
+    /// How to correct it.
     pub remedy: String,
-    /// Where.
+    /// The locations, the primary one first.
     #[serde(rename = "places")]
     pub locations: Vec<SourceLocation>,
 }
 
-/// All that was found in one file.
+/// The findings about one file.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Report {
-    /// The file.
+    /// Name of the file.
     pub file: String,
-    /// What was found, in the order of the locations; at most [`MAX_REPORTED`].
+    /// The findings, ordered by location; at most [`MAX_REPORTED`].
     pub findings: Vec<LocatedFinding>,
-    /// How many more there are.
+    /// Number of findings that are not listed.
     pub more: usize,
-    /// Some finding is an error, among those not told too.
+    /// Whether any finding is an error, including those that are not listed.
     pub refused: bool,
     #[serde(skip)]
     text: String,
 }
 
 impl Report {
-    /// Puts findings in order and finds their locations in the text. `locate` gives a path's range there.
+    /// Sorts findings and determines their locations in the text. `locate` returns the byte range of a path.
     pub fn new(
         file: &str,
         text: &str,
@@ -176,13 +176,13 @@
         locate: impl Fn(&Path) -> Option<(usize, usize)>,
     ) -> Report {
         let refused = findings.iter().any(|f| f.severity == Severity::Error);
-        // Errors first where not all can be told.
+        // Errors first, so that warnings are the ones dropped when the list is truncated.
         findings.sort_by_key(|f| f.severity != Severity::Error);
         let more = findings.len().saturating_sub(MAX_REPORTED);
         findings.truncate(MAX_REPORTED);
         let lines: Vec<usize> =
             std::iter::once(0).chain(text.match_indices('\n').map(|(at, _)| at + 1)).collect();
-        let place = |(path, what): (Path, String)| {
+        let locate_in_text = |(path, what): (Path, String)| {
             let range = locate(&path).unwrap_or((0, 0));
             let range = (range.0.min(text.len()), range.1.min(text.len()));
             let line = lines.partition_point(|start| *start <= range.0).max(1);
@@ -197,27 +197,27 @@
                 rule: f.rule,
                 text: f.text,
                 remedy: f.remedy,
-                locations: f.locations.into_iter().map(place).collect(),
+                locations: f.locations.into_iter().map(locate_in_text).collect(),
             })
             .collect();
         findings.sort_by_key(|f| f.locations.first().map_or(0, |p| p.range.0));
         Report { file: file.to_string(), findings, more, refused, text: text.to_string() }
     }
 
-    /// The report for people: each finding with its lines, the offending text underlined, and what to write.
+    /// Renders the report as text: each finding with its source lines, the offending text underlined, and the remedy.
     pub fn render(&self) -> String {
         let renderer = Renderer::plain();
         let mut out = String::new();
         for f in &self.findings {
             let level = if f.severity == Severity::Error { Level::ERROR } else { Level::WARNING };
             let mut snippet = Snippet::source(self.text.as_str()).path(self.file.as_str()).fold(true);
-            for (n, place) in f.locations.iter().enumerate() {
+            for (n, location) in f.locations.iter().enumerate() {
                 let kind = if n == 0 { AnnotationKind::Primary } else { AnnotationKind::Context };
-                let end = self.text[place.range.0..place.range.1]
+                let end = self.text[location.range.0..location.range.1]
                     .find('\n')
-                    .map_or(place.range.1, |at| place.range.0 + at);
-                let label = (!place.what.is_empty()).then_some(place.what.as_str());
-                snippet = snippet.annotation(kind.span(place.range.0..end).label(label));
+                    .map_or(location.range.1, |at| location.range.0 + at);
+                let label = (!location.what.is_empty()).then_some(location.what.as_str());
+                snippet = snippet.annotation(kind.span(location.range.0..end).label(label));
             }
             let title = level.primary_title(f.text.as_str()).id(f.rule);
             let help = Level::HELP.message(f.remedy.as_str());
--- a/src/ops/mod.rs
+++ b/src/ops/mod.rs
@@ -1,7 +1,7 @@
-//! The operators' file: one section a subsystem, read whole or not at all.
+//! The operators' file: one section per subsystem. A file with an error in any section is refused as a whole.
 //!
-//! This part reads the file and collects what the sections find; what a section may hold, and what is wrong with it,
-//! is its subsystem's own. The form is JSON with comments and trailing commas.
+//! This module parses the file and collects the findings of its sections. The content and validation of a section are
+//! defined by its subsystem. The format is JSON with comments and trailing commas.
 
 mod decode;
 pub mod finding;
@@ -14,21 +14,22 @@
 pub use decode::{MAX_BYTES, decode};
 pub use finding::{Finding, Path, Report, Severity};
 
-/// One section of the file, as its subsystem reads and checks it.
+/// A section of the file, read and checked by its subsystem.
 pub trait Section {
     /// Its key in the file.
     fn key(&self) -> &'static str;
 
-    /// Takes the value that stands under its key, and adds what is wrong with its form.
+    /// Decodes the value of the section's key and adds format errors to `findings`.
     fn read(&mut self, value: Value, at: &Path, findings: &mut Vec<Finding>);
 
-    /// What breaks its rules. Asked only where the whole file could be read: what is missing would be found here.
+    /// Returns violations of the section's rules. Called only if the whole file was decoded without findings, since values
+    /// that could not be decoded would cause further findings here.
     fn check(&mut self) -> Vec<Finding> {
         Vec::new()
     }
 }
 
-/// A file's text.
+/// Reads a file's text, subject to the size limit.
 pub fn load(path: &FilePath) -> Result<String, Report> {
     let name = path.display().to_string();
     let fail = |rule, text: String, remedy: &str| {
@@ -36,29 +37,30 @@
         Report::new(&name, "", vec![finding], |_| None)
     };
     let size = std::fs::metadata(path)
-        .map_err(|e| fail("file", format!("cannot be read: {e}"), "give a readable file"))?
+        .map_err(|e| fail("file", format!("cannot be read: {e}"), "name a readable file"))?
         .len();
     if size > MAX_BYTES as u64 {
-        let text = format!("the file has {size} bytes, and {MAX_BYTES} are the most");
-        return Err(fail("size", text, "give routes with a common prefix one route"));
+        let text = format!("the file has {size} bytes; the maximum is {MAX_BYTES}");
+        return Err(fail("size", text, "merge routes with a common prefix into one"));
     }
     let bytes = std::fs::read(path)
-        .map_err(|e| fail("file", format!("cannot be read: {e}"), "give a readable file"))?;
+        .map_err(|e| fail("file", format!("cannot be read: {e}"), "name a readable file"))?;
     String::from_utf8(bytes).map_err(|e| {
         let at = e.utf8_error().valid_up_to();
-        let good = e.as_bytes()[..at].iter().filter(|b| **b == b'\n').count();
-        let text = format!("the file is not UTF-8: byte {} on line {} is no text", at + 1, good + 1);
+        let preceding_lines = e.as_bytes()[..at].iter().filter(|b| **b == b'\n').count();
+        let text =
+            format!("the file is not UTF-8: byte {} on line {} is invalid", at + 1, preceding_lines + 1);
         fail("utf-8", text, "save the file as UTF-8")
     })
 }
 
-/// Reads a text that came under this name into its sections; what they find is in the report.
+/// Reads the sections from a text. `name` is the file name used in the report.
 pub fn read(name: &str, text: &str, sections: &mut [&mut dyn Section]) -> Report {
     let tree = match decode::parse(text) {
         Ok(tree) => tree,
-        Err((said, range)) => {
+        Err((message, range)) => {
             let remedy = "write JSON with comments and trailing commas, as in deploy/cobaltspool.json5";
-            let finding = Finding::error("json", Path::default(), said, remedy);
+            let finding = Finding::error("json", Path::default(), message, remedy);
             return Report::new(name, text, vec![finding], |_| Some(range));
         }
     };
@@ -88,7 +90,7 @@
     Report::new(name, text, findings, |path| tree.locate(path))
 }
 
-/// Looks through another text of ours: `check` gets its value and adds what it finds.
+/// Checks a text in the same format that has no sections. `check` receives its value and adds findings.
 pub fn check_text(name: &str, text: &str, check: impl FnOnce(Value, &mut Vec<Finding>)) -> Report {
     match decode::parse(text) {
         Ok(tree) => {
@@ -97,8 +99,9 @@
             check(value, &mut findings);
             Report::new(name, text, findings, |path| tree.locate(path))
         }
-        Err((said, range)) => {
-            let finding = Finding::error("json", Path::default(), said, "write JSON, as in deploy/sip.json");
+        Err((message, range)) => {
+            let finding =
+                Finding::error("json", Path::default(), message, "write JSON, as in deploy/sip.json");
             Report::new(name, text, vec![finding], |_| Some(range))
         }
     }
--- a/src/ops/units.rs
+++ b/src/ops/units.rs
@@ -1,4 +1,4 @@
-//! Spans of time and shares, as the operators' file has them: texts with a unit, never bare numbers.
+//! Durations and percentages in the operators' file: strings with a unit, never bare numbers.
 
 use std::borrow::Cow;
 use std::fmt;
@@ -9,36 +9,36 @@
 
 use crate::Micros;
 
-/// The longest span that a setting may have: an hour. Longer ones are slips, and sums of them could overflow.
+/// The longest duration that a setting may have: one hour. Longer ones are mistakes, and their sums could overflow.
 pub const MAX_SPAN: Micros = 3_600_000_000;
 
-/// A span of time, as in `"800ms"` or `"1m 30s"`.
+/// A duration, such as `"800ms"` or `"1m 30s"`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(pub Micros);
 
-/// A share, as in `"20%"`; 1 is all.
+/// A percentage, such as `"20%"`, stored as a fraction: 1 is 100%.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct Share(pub f64);
 
-/// A span, or a share of the caller's patience.
+/// A timeout: a duration, or a share of the caller's maximum waiting time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TimeOut {
-    /// So long.
+    /// A fixed duration.
     Span(Span),
-    /// This share of the time that the caller waits.
+    /// A share of the time that the caller waits.
     Share(Share),
 }
 
-/// A text that names no span, share or time-out. The message says what is expected.
+/// A string that is not a valid duration, share or timeout. The message states the expected format.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UnitError {
-    /// No span.
+    /// Not a duration.
     #[error("'{0}' is no span of time, expected a number with a unit, as in \"800ms\", \"9s\" or \"1m 30s\"")]
     NotASpan(String),
-    /// A span over the maximum.
+    /// A duration over the maximum.
     #[error("'{0}' is too long, expected \"1h\" at most")]
     TooLong(String),
-    /// No share.
+    /// Not a share.
     #[error("'{0}' is no share, expected a number from 0 to 1000 with %, as in \"20%\"")]
     NotAShare(String),
 }
@@ -82,7 +82,7 @@
 }
 
 impl TimeOut {
-    /// The time that a try has where the caller waits so long.
+    /// The timeout of an attempt for a caller that waits at most `max_wait`.
     pub fn resolve(&self, max_wait: Micros) -> Micros {
         match self {
             TimeOut::Span(span) => span.0,
@@ -112,10 +112,10 @@
     }
 }
 
-/// Reads a text by its `FromStr`; anything else is told what to write.
-struct Text<T>(std::marker::PhantomData<T>, &'static str);
+/// Deserializes a string with `FromStr`. The second field describes the expected format in type errors.
+struct FromStrVisitor<T>(std::marker::PhantomData<T>, &'static str);
 
-impl<T: FromStr<Err = UnitError>> serde::de::Visitor<'_> for Text<T> {
+impl<T: FromStr<Err = UnitError>> serde::de::Visitor<'_> for FromStrVisitor<T> {
     type Value = T;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -127,11 +127,11 @@
     }
 }
 
-macro_rules! text {
+macro_rules! impl_string_format {
     ($type:ty, $name:literal, $expected:literal, $pattern:literal) => {
         impl<'de> Deserialize<'de> for $type {
             fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-                deserializer.deserialize_str(Text(std::marker::PhantomData, $expected))
+                deserializer.deserialize_str(FromStrVisitor(std::marker::PhantomData, $expected))
             }
         }
 
@@ -147,17 +147,17 @@
     };
 }
 
-text!(
+impl_string_format!(
     Span,
     "Span",
-    "a span of time with its unit in quotes, as in \"800ms\" or \"9s\"",
+    "a duration with its unit in quotes, such as \"800ms\" or \"9s\"",
     r"^\s*(\d+\s*[a-zµ]+\s*)+$"
 );
-text!(Share, "Share", "a share in quotes, as in \"20%\"", r"^\s*\d+(\.\d+)?\s*%$");
-text!(
+impl_string_format!(Share, "Share", "a percentage in quotes, such as \"20%\"", r"^\s*\d+(\.\d+)?\s*%$");
+impl_string_format!(
     TimeOut,
     "TimeOut",
-    "a span of time or a share of the caller's time in quotes, as in \"800ms\" or \"30%\"",
+    "a duration or a percentage of the caller's waiting time in quotes, such as \"800ms\" or \"30%\"",
     r"^\s*((\d+\s*[a-zµ]+\s*)+|\d+(\.\d+)?\s*%)$"
 );
 
--- a/src/ops/units/tests.rs
+++ b/src/ops/units/tests.rs
@@ -1,4 +1,4 @@
-//! Spans, shares and time-outs as text.
+//! Parsing of durations and shares.
 
 use rstest::rstest;
 
@@ -14,7 +14,7 @@
 #[case("9", None)]
 #[case("", None)]
 #[case("-1s", None)]
-fn spans_have_units_and_an_end(#[case] text: &str, #[case] span: Option<Micros>) {
+fn spans_need_a_unit_and_have_a_maximum(#[case] text: &str, #[case] span: Option<Micros>) {
     assert_eq!(text.parse().ok(), span.map(Span));
 }
 
@@ -24,6 +24,6 @@
 #[case("20", None)]
 #[case("NaN%", None)]
 #[case("-1%", None)]
-fn shares_are_in_percent(#[case] text: &str, #[case] share: Option<f64>) {
+fn shares_need_a_percent_sign(#[case] text: &str, #[case] share: Option<f64>) {
     assert_eq!(text.parse().ok(), share.map(Share));
 }
--- a/src/sections.rs
+++ b/src/sections.rs
@@ -1,5 +1,5 @@
-//! The operators' file as this program has it: which sections there are, and what comes of them. `ops` reads the file and
-//! knows none of them; each section's type and checks are its subsystem's.
+//! The sections of the operators' file and the settings read from them. `ops` parses the file independently of its
+//! sections; the type and checks of each section are defined by its subsystem.
 
 use std::path::Path as FilePath;
 
@@ -11,40 +11,40 @@
 use crate::log;
 use crate::ops::{self, Report};
 
-/// Everything that the file can hold. Each section may be left out.
+/// The operators' file. Every section is optional.
 #[derive(Clone, Debug, Default, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct File {
-    /// What is logged, and how.
+    /// Log levels and format.
     pub log: Option<log::Section>,
-    /// What a route and a class allow.
+    /// Limits of routes and classes.
     pub limits: Option<limits::file::Section>,
-    /// How this gatekeeper takes part in a fleet; without it it takes part in none.
+    /// Membership of this gatekeeper in a fleet. Without this section it is not part of a fleet.
     pub fleet: Option<settings::Section>,
 }
 
-/// A file that was accepted.
+/// The settings of an accepted file.
 #[derive(Debug)]
 pub struct OpsConfig {
-    /// What is logged, where the command line does not say.
+    /// Log settings, used where the command line does not set them.
     pub log: log::Settings,
-    /// What routes and classes allow.
+    /// Limits of routes and classes.
     pub plan: Plan,
-    /// How it takes part in a fleet.
+    /// Membership in a fleet.
     pub fleet: FleetRole,
-    /// Digest of the file, for the fleet: members whose files differ are told apart.
+    /// Digest of the file. The fleet uses it to detect members whose files differ.
     pub digest: u64,
-    /// Warnings, if there are any.
+    /// The report, which may contain warnings.
     pub report: Report,
 }
 
-/// Reads a file. `ceilings` are the platform's, where its configuration is known; `node` is the fleet's member that is
-/// started with it, where the command line names one.
+/// Reads a file. `ceilings` are the limits of the installation, if its configuration is known; `node` is the fleet member
+/// named on the command line, if any.
 pub fn read(path: &FilePath, ceilings: &Ceilings, node: Option<&str>) -> Result<OpsConfig, Report> {
     read_text(&path.display().to_string(), &ops::load(path)?, ceilings, node)
 }
 
-/// Reads a text that came under this name.
+/// Reads the settings from a text. `name` is the file name used in the report.
 pub fn read_text(
     name: &str,
     text: &str,
@@ -62,7 +62,7 @@
     Ok(OpsConfig { log: log.settings(), plan: limits.plan(), fleet: fleet.role(), digest, report })
 }
 
-/// A JSON Schema of the file, for editors.
+/// Returns the JSON Schema of the file, for editors.
 pub fn schema() -> String {
     let schema = schemars::schema_for!(File);
     serde_json::to_string_pretty(&schema).unwrap_or_default()
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line and the configuration, through the real program.
+//! Tests the command line and the configuration with the built program.
 
 mod peers;
 
@@ -13,11 +13,11 @@
     command.args(arguments).env_remove("LB_CONFIG").output().unwrap()
 }
 
-fn said(bytes: &[u8]) -> String {
+fn to_text(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-fn platform() -> Value {
+fn platform_config() -> Value {
     json!({"name": "n3", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964",
            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "dns": "127.0.0.1:5353",
            "known": {"seq": 3, "results": [
@@ -29,28 +29,28 @@
 }
 
 #[test]
-fn it_tells_its_version() {
+fn version_is_printed() {
     let out = run(&["version"]);
     assert!(out.status.success());
-    assert_eq!(said(&out.stdout), format!("cobaltspool {}\n", env!("CARGO_PKG_VERSION")));
+    assert_eq!(to_text(&out.stdout), format!("cobaltspool {}\n", env!("CARGO_PKG_VERSION")));
 }
 
 #[test]
-fn check_config_says_what_is_in_a_configuration() {
-    let file = Scratch::new(&platform().to_string());
+fn check_config_prints_a_summary() {
+    let file = Scratch::new(&platform_config().to_string());
     let out = run(&["check-config", "--config", file.0.to_str().unwrap(), "--sip", "deploy/sip.json"]);
-    assert!(out.status.success(), "{}", said(&out.stderr));
-    let text = said(&out.stdout);
+    assert!(out.status.success(), "{}", to_text(&out.stderr));
+    let text = to_text(&out.stdout);
     assert!(text.contains("n3: listens on 127.0.0.1:0") && text.contains("classes: check-setup"), "{text}");
     assert!(text.contains("_sip._udp.pool.lan"), "{text}");
 }
 
 #[rstest]
-#[case::no_json("{", "not JSON")]
-#[case::no_object("[]", "not an object")]
+#[case::not_json("{", "not JSON")]
+#[case::not_an_object("[]", "not an object")]
 #[case::empty("{}", "'seed' is missing")]
-fn a_file_that_is_no_configuration(#[case] text: &str, #[case] word: &str) {
-    complains(text, word);
+fn a_file_without_a_configuration_is_refused(#[case] text: &str, #[case] expected: &str) {
+    assert_refused(text, expected);
 }
 
 #[rstest]
@@ -60,31 +60,31 @@
 #[case::state("/known/results/0/fleet/instances/0/lifecycle", json!("odd"), "'lifecycle' is 'odd'")]
 #[case::address("/known/results/0/fleet/instances/0/hostPort", json!(7), "'hostPort' is not a text")]
 #[case::no_classes("/settings/services", json!([]), "'services' is missing or empty")]
-#[case::figure("/settings/rules/drain-grace-us", json!("soon"), "'drain-grace-us' is not a number")]
+#[case::rule_setting("/settings/rules/drain-grace-us", json!("soon"), "'drain-grace-us' is not a number")]
 #[case::negative("/settings/rules/drain-grace-us", json!(-1), "'drain-grace-us' is negative")]
 #[case::pools("/settings/domain/allowed-pools", json!([["a"]]), "a pool is not a number")]
-fn a_bad_value_is_named_in_one_line(#[case] at: &str, #[case] value: Value, #[case] word: &str) {
-    let mut config = platform();
+fn an_invalid_value_is_reported_in_one_line(#[case] at: &str, #[case] value: Value, #[case] expected: &str) {
+    let mut config = platform_config();
     config["settings"]["domain"]["allowed-pools"] = json!([[2]]);
     *config.pointer_mut(at).unwrap() = value;
-    complains(&config.to_string(), word);
+    assert_refused(&config.to_string(), expected);
 }
 
-fn complains(text: &str, word: &str) {
+fn assert_refused(text: &str, expected: &str) {
     let file = Scratch::new(text);
     let out = run(&["serve", "--config", file.0.to_str().unwrap()]);
-    let line = said(&out.stderr);
+    let message = to_text(&out.stderr);
     assert!(!out.status.success());
-    assert_eq!(line.lines().count(), 1, "{line}");
-    assert!(line.contains(word) && !line.contains("panicked"), "{line}");
+    assert_eq!(message.lines().count(), 1, "{message}");
+    assert!(message.contains(expected) && !message.contains("panicked"), "{message}");
 }
 
 #[rstest]
-#[case::no_front(&["serve"], "--sip")]
+#[case::no_frontend(&["serve"], "--sip")]
 #[case::no_such_file(&["serve", "--config", "/nonexistent/config.json"], "/nonexistent/config.json")]
 #[case::no_such_command(&["dance"], "dance")]
-fn a_bad_command_line_fails(#[case] arguments: &[&str], #[case] word: &str) {
+fn an_invalid_command_line_fails(#[case] arguments: &[&str], #[case] expected: &str) {
     let out = run(arguments);
     assert!(!out.status.success());
-    assert!(said(&out.stderr).contains(word), "{}", said(&out.stderr));
+    assert!(to_text(&out.stderr).contains(expected), "{}", to_text(&out.stderr));
 }
--- a/tests/ops_files.rs
+++ b/tests/ops_files.rs
@@ -1,8 +1,8 @@
-//! Files of the operators', good and bad, each told on its first lines what is to be found in it.
+//! Tests valid and invalid operators' files. The comments at the start of each file list the expected findings.
 //!
-//! `// rule:` the finding's rule, `// says:` words of it, `// line:` where its main place stands, `// places:` how many
-//! places make it up at least, `// warns:` a warning's rule; `// attempts:`, `// second-copies:` and `// numbers:` set
-//! what the installation permits.
+//! Expectations: `// rule:` the finding's rule, `// says:` a part of its text, `// line:` the line of its primary location,
+//! `// places:` the minimum number of locations, `// warns:` the rule of a warning. `// attempts:`, `// second-copies:` and
+//! `// numbers:` set the limits of the installation.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -12,12 +12,12 @@
 use cobaltspool::sections;
 use rstest::rstest;
 
-/// What stands on the first lines.
-fn told(text: &str) -> BTreeMap<&str, &str> {
+/// Parses the `// key: value` comments at the start of a file.
+fn expectations(text: &str) -> BTreeMap<&str, &str> {
     text.lines().map_while(|l| l.strip_prefix("// ")).filter_map(|l| l.split_once(": ")).collect()
 }
 
-fn ceilings(told: &BTreeMap<&str, &str>) -> Ceilings {
+fn ceilings(expected: &BTreeMap<&str, &str>) -> Ceilings {
     let class = |name: &str, max_wait, is_idempotent, pools| ClassInfo {
         name: name.to_string(),
         max_wait,
@@ -25,56 +25,58 @@
         allowed_pools: Some(pools),
     };
     Ceilings {
-        attempts: told.get("attempts").map_or(4, |n| n.parse().unwrap()),
+        attempts: expected.get("attempts").map_or(4, |n| n.parse().unwrap()),
         release_wait: 500_000,
-        second_copies: Some(told.get("second-copies") == Some(&"allowed")),
+        second_copies: Some(expected.get("second-copies") == Some(&"allowed")),
         max_retry_after: 6_000_000,
         classes: Some(vec![
             class("voice", 9_000_000, true, vec![1, 2]),
             class("order", 3_000_000, false, vec![2, 3]),
         ]),
-        hex_numbers: told.get("numbers") == Some(&"hex"),
+        hex_numbers: expected.get("numbers") == Some(&"hex"),
     }
 }
 
 #[rstest]
-fn a_bad_file_is_refused_with_its_line_and_cause(#[files("tests/limits/bad/*.json5")] path: PathBuf) {
+fn an_invalid_file_is_refused_with_line_and_cause(#[files("tests/limits/bad/*.json5")] path: PathBuf) {
     let text = std::fs::read_to_string(&path).unwrap();
-    let told = told(&text);
-    let report = sections::read(&path, &ceilings(&told), None).expect_err("it is refused");
-    let rule = told["rule"];
-    let fits = |f: &&ops::finding::LocatedFinding| {
-        f.severity == Severity::Error && f.rule == rule && f.text.contains(told.get("says").unwrap_or(&""))
+    let expected = expectations(&text);
+    let report = sections::read(&path, &ceilings(&expected), None).expect_err("it is refused");
+    let rule = expected["rule"];
+    let matches = |f: &&ops::finding::LocatedFinding| {
+        f.severity == Severity::Error
+            && f.rule == rule
+            && f.text.contains(expected.get("says").unwrap_or(&""))
     };
-    let found = report.findings.iter().find(fits);
+    let found = report.findings.iter().find(matches);
     let found = found.unwrap_or_else(|| panic!("{rule} is not among {:#?}", report.findings));
     assert!(!found.remedy.is_empty());
-    if let Some(line) = told.get("line") {
+    if let Some(line) = expected.get("line") {
         assert_eq!(found.locations[0].line, line.parse::<usize>().unwrap(), "{found:#?}");
     }
-    let places = told.get("places").map_or(1, |n| n.parse().unwrap());
-    assert!(found.locations.len() >= places, "{found:#?}");
-    let drawn = report.render();
-    assert!(drawn.contains(&found.text) && drawn.contains(&found.remedy), "{drawn}");
+    let min_locations = expected.get("places").map_or(1, |n| n.parse().unwrap());
+    assert!(found.locations.len() >= min_locations, "{found:#?}");
+    let rendered = report.render();
+    assert!(rendered.contains(&found.text) && rendered.contains(&found.remedy), "{rendered}");
     assert!(
-        drawn.contains(&format!(":{}:{}", found.locations[0].line, found.locations[0].column)),
-        "{drawn}"
+        rendered.contains(&format!(":{}:{}", found.locations[0].line, found.locations[0].column)),
+        "{rendered}"
     );
 }
 
 #[rstest]
-fn a_good_file_is_accepted(#[files("tests/limits/good/*.json5")] path: PathBuf) {
+fn a_valid_file_is_accepted(#[files("tests/limits/good/*.json5")] path: PathBuf) {
     let text = std::fs::read_to_string(&path).unwrap();
-    let told = told(&text);
-    let ops =
-        sections::read(&path, &ceilings(&told), None).unwrap_or_else(|report| panic!("{}", report.render()));
+    let expected = expectations(&text);
+    let ops = sections::read(&path, &ceilings(&expected), None)
+        .unwrap_or_else(|report| panic!("{}", report.render()));
     let warnings: Vec<&str> = ops.report.findings.iter().map(|f| f.rule).collect();
-    let wanted: Vec<&str> = told.get("warns").copied().into_iter().collect();
-    assert_eq!(warnings, wanted, "{:#?}", ops.report.findings);
+    let expected_warnings: Vec<&str> = expected.get("warns").copied().into_iter().collect();
+    assert_eq!(warnings, expected_warnings, "{:#?}", ops.report.findings);
 }
 
 #[test]
-fn all_findings_come_in_one_go() {
+fn all_findings_are_reported_in_one_run() {
     let text = "{log: {level: \"loud\"},\n limits: {default: {attempts: 9, time_out: 5},\n classes: {voice: {nope: 1}}, x: 1},\n y: 2}";
     let report = sections::read_text("many", text, &Ceilings::default(), None).unwrap_err();
     let lines: Vec<usize> = report.findings.iter().map(|f| f.locations[0].line).collect();
@@ -88,7 +90,7 @@
 #[case::deep([vec![b'['; 10_000], vec![b']'; 10_000]].concat(), "json")]
 #[case::deep_objects("{a:".repeat(10_000).into_bytes(), "json")]
 #[case::huge(vec![b' '; 64 * 1024 * 1024], "size")]
-fn a_file_that_is_none_gets_one_clear_error(#[case] bytes: Vec<u8>, #[case] rule: &str) {
+fn an_unreadable_file_gets_exactly_one_error(#[case] bytes: Vec<u8>, #[case] rule: &str) {
     let path =
         std::env::temp_dir().join(format!("cobaltspool-ops-{}-{rule}-{}", std::process::id(), bytes.len()));
     std::fs::write(&path, bytes).unwrap();
@@ -100,7 +102,7 @@
 }
 
 #[test]
-fn a_missing_file_is_said_to_be_missing() {
+fn a_missing_file_is_reported() {
     let report = sections::read(&PathBuf::from("/nowhere/ops.json5"), &Ceilings::default(), None)
         .map(|_| ())
         .unwrap_err();
@@ -108,7 +110,7 @@
 }
 
 #[test]
-fn the_example_passes_and_the_schema_knows_its_sections() {
+fn the_example_is_accepted_and_the_schema_contains_its_sections() {
     let path = PathBuf::from("deploy/cobaltspool.json5");
     let ops = sections::read(&path, &Ceilings::default(), None)
         .unwrap_or_else(|report| panic!("{}", report.render()));
