--- a/src/main.rs
+++ b/src/main.rs
@@ -146,7 +146,7 @@
         let unspecified = SocketAddr::from(([0, 0, 0, 0], 0));
         let dns = watch::Sender::new(config.as_ref().map_or(unspecified, |c| c.dns));
         let sip_dns = watch::Sender::new(sip.as_ref().map_or(unspecified, |c| c.dns));
-        let part = ops.first().map(|o| (o.fleet.clone(), o.digest)).unwrap_or_default();
+        let fleet_role = ops.first().map(|o| (o.fleet.clone(), o.digest)).unwrap_or_default();
         // One plan per frontend, in the order of the frontends.
         let mut plans = ops.into_iter().map(|o| Rc::new(o.plan));
         let plan = watch::Sender::new(config.as_ref().and_then(|_| plans.next()));
@@ -166,10 +166,10 @@
         };
         // The fleet member is stopped after the frontends have ended.
         let (stop_member, ended) = watch::channel(false);
-        let member = match part {
+        let member = match fleet_role {
             (FleetRole::Member(set), digest) => {
-                let part = fleet::join(*set, digest, &admin).await?;
-                Some(tokio::task::spawn_local(part.serve(wait_until_true(ended))))
+                let fleet_member = fleet::join(*set, digest, &admin).await?;
+                Some(tokio::task::spawn_local(fleet_member.serve(wait_until_true(ended))))
             }
             (FleetRole::Unidentified, _) => {
                 return Err(
