--- a/src/commands.rs
+++ b/src/commands.rs
@@ -201,15 +201,12 @@
             rows.extend(value.map(|value| (name.to_string(), value, origin.clone())));
         };
         add_row("open_calls", terms.open_calls.map(|n| n.to_string()));
-        add_row(
-            "rate",
-            terms.rate.map(|r| format!("{} per second, burst of {}", r.per_second, r.max_burst())),
-        );
+        add_row("rate", terms.rate.map(|r| format!("{} a second, {} at once", r.per_second, r.max_burst())));
         add_row(
             "retry_budget",
             terms
                 .retry_budget
-                .map(|b| format!("{} of the new calls within {}, plus {}", b.share, b.window, b.least)),
+                .map(|b| format!("{} of the fresh calls in {}, {} free", b.share, b.window, b.least)),
         );
     }
     let name = route.map_or("none", |n| plan.section.routes[n].name.as_str());
@@ -249,14 +246,11 @@
         row("pause.full", &limits.full, span),
         row("back_off", &limits.back_off, |b| {
             b.map_or("none".into(), |b| {
-                format!(
-                    "{}, multiplied by {} each time up to {}, {} of it random",
-                    b.first, b.factor, b.most, b.jitter
-                )
+                format!("{} times {} each time up to {}, {} of it drawn", b.first, b.factor, b.most, b.jitter)
             })
         }),
         row("come_back", &limits.retry_after, |c| {
-            c.map_or("set by the limit that was reached".into(), |c| format!("{} to {}", c.least, c.most))
+            c.map_or("as the limit that is met says".into(), |c| format!("{} to {}", c.least, c.most))
         }),
         row("second_copies", &limits.second_copies, |s| {
             s.map_or("none".into(), |s| format!("after {}", Span(s)))
