--- a/crates/fleet-sim/src/main.rs
+++ b/crates/fleet-sim/src/main.rs
@@ -76,7 +76,7 @@
 
 fn schedules(from: u64, count: u64, least: usize, most: usize) -> ExitCode {
     let start = Instant::now();
-    let played = spread(from, count, |seed| schedule::play(seed, least, most));
+    let played = spread(from, count, |seed| schedule::run_schedule(seed, least, most));
     let broken: Vec<_> = played.iter().filter(|(_, p)| p.settled.is_err()).collect();
     for (_, outcome) in broken.iter().take(5) {
         println!("{outcome:#?}");
--- a/crates/fleet-sim/src/measure.rs
+++ b/crates/fleet-sim/src/measure.rs
@@ -1,4 +1,4 @@
-//! What the view costs and how quick and how wrong it is, against plainer detectors in the same run.
+//! Scheduled the view costs and how quick and how wrong it is, against plainer detectors in the same run.
 
 use std::collections::BTreeSet;
 use std::fmt::Write as _;
@@ -10,12 +10,12 @@
 
 use crate::crate_swim;
 use crate::others::{self, Detector};
-use crate::world::{Cut, PERIOD, World};
+use crate::world::{PERIOD, Partition, World};
 
 /// A second of simulated time.
 pub const SECOND: u64 = 1_000_000;
 
-/// What a detector showed.
+/// Scheduled a detector showed.
 #[derive(Clone, Debug, Default)]
 pub struct Played {
     /// Periods until the first member held a killed one down, sorted.
@@ -64,7 +64,7 @@
 /// Periods until the first and until the last member holds a killed one down.
 fn detection(seed: u64, size: usize) -> (f64, f64) {
     let mut world = ready(seed, size);
-    let victim = 1 + world.draw(size as u64 - 1) as usize;
+    let victim = 1 + world.random_below(size as u64 - 1) as usize;
     let id = world.nodes[victim].id.clone();
     world.kill(victim);
     let start = world.now;
@@ -82,10 +82,10 @@
     let mut world = ready(seed, size);
     let (one, two): (BTreeSet<usize>, BTreeSet<usize>) =
         ((0..size / 2).collect(), (size / 2..size).collect());
-    world.cuts.push(Cut { from: one.clone(), to: two.clone() });
-    world.cuts.push(Cut { from: two, to: one });
+    world.partitions.push(Partition { from: one.clone(), to: two.clone() });
+    world.partitions.push(Partition { from: two, to: one });
     world.run(60);
-    world.cuts.clear();
+    world.partitions.clear();
     world.settle(Membership::settling_bound(PERIOD, size)).map_or(f64::INFINITY, periods)
 }
 
@@ -99,14 +99,14 @@
         // A tenth of the members, always others, stops for 2 to 4 periods at a time.
         for _ in 0..time / 6 {
             let some: Vec<usize> =
-                (0..(size / 10).max(1)).map(|_| world.draw(size as u64) as usize).collect();
+                (0..(size / 10).max(1)).map(|_| world.random_below(size as u64) as usize).collect();
             for n in &some {
-                world.stop(*n, true);
+                world.set_paused(*n, true);
             }
-            let length = 2 + world.draw(3);
+            let length = 2 + world.random_below(3);
             world.run(length);
             for n in &some {
-                world.stop(*n, false);
+                world.set_paused(*n, false);
             }
             world.run(6 - length);
         }
@@ -124,10 +124,10 @@
 fn cost(seed: u64, size: usize) -> (f64, f64) {
     let mut world = ready(seed, size);
     world.run(120);
-    world.sent = Some((0, 0));
+    world.traffic = Some((0, 0));
     world.run(20);
-    let bytes = world.sent.map_or(0, |(_, bytes)| bytes) as f64 / 20.0 / size as f64;
-    world.sent = None;
+    let bytes = world.traffic.map_or(0, |(_, bytes)| bytes) as f64 / 20.0 / size as f64;
+    world.traffic = None;
     let start = Instant::now();
     world.run(20);
     (bytes, start.elapsed().as_secs_f64() * 1e6 / 20.0 / size as f64)
--- a/crates/fleet-sim/src/world.rs
+++ b/crates/fleet-sim/src/world.rs
@@ -1,4 +1,4 @@
-//! Members, the network between them, and what happens to both.
+//! Simulated processes that run a `Membership` each, the network between them, and the faults of both.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, HashMap, VecDeque};
@@ -11,99 +11,101 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// From one probe to the next, in every world.
+/// The probe period of every simulated member.
 pub const PERIOD: Micros = 1_000_000;
-/// Datagrams that wait for a stopped process; the system drops further ones.
-const INBOX: usize = 200;
+/// Datagrams queued for a paused process; later ones are dropped, as by a full socket buffer.
+const INBOX_CAPACITY: usize = 200;
 
-/// One process.
+/// A simulated process.
 pub struct Node {
-    /// Its member's id.
+    /// Member id.
     pub id: MemberId,
-    /// Where it is reached.
+    /// Address of its datagrams and streams.
     pub address: SocketAddr,
-    /// Whom it asks first at its next start.
+    /// Seed addresses used at its next start.
     pub seeds: Vec<SocketAddr>,
-    known: Vec<(MemberId, SocketAddr)>,
-    /// Its view, while it runs.
+    /// Members named in its configuration.
+    configured: Vec<(MemberId, SocketAddr)>,
+    /// Its membership state; `None` while the process is not running.
     pub view: Option<Membership>,
-    /// It was stopped, and does nothing till it is continued.
-    pub stopped: bool,
-    /// It said that it goes.
+    /// The process is suspended and executes nothing until it is resumed.
+    pub paused: bool,
+    /// The member has announced that it leaves.
     pub left: bool,
     inbox: VecDeque<(Frame, SocketAddr)>,
-    /// Counts starts and continuations: ticks of an earlier one are nobody's.
-    runs: u64,
+    /// Incremented at each start and resume; a scheduled tick with an older number is ignored.
+    run_number: u64,
 }
 
-/// Frames from the first go no further than here.
+/// A one-way partition: frames from one set of processes to another are dropped.
 #[derive(Clone, Debug)]
-pub struct Cut {
-    /// Who is not heard ...
+pub struct Partition {
+    /// Senders, as indexes of `World::nodes`.
     pub from: BTreeSet<usize>,
-    /// ... by whom.
+    /// Receivers, as indexes of `World::nodes`.
     pub to: BTreeSet<usize>,
 }
 
-enum What {
+/// A scheduled occurrence at a process.
+enum Scheduled {
     Tick(u64),
     Datagram(Box<Frame>, SocketAddr),
-    /// A table, and whether an answer is wanted at the address.
+    /// A full membership table, and the process that expects a table in reply, if any.
     Table(Box<Frame>, Option<usize>),
 }
 
-/// See the module.
+/// The simulation: processes, network and simulated clock.
 pub struct World {
-    /// Simulated time.
+    /// Simulated time in microseconds.
     pub now: Micros,
-    /// All processes, also those that are gone.
+    /// All processes, including those that have ended.
     pub nodes: Vec<Node>,
-    /// What is cut.
-    pub cuts: Vec<Cut>,
-    /// Share of datagrams that are lost.
+    /// Partitions in effect.
+    pub partitions: Vec<Partition>,
+    /// Probability that a datagram is lost.
     pub loss: f64,
-    /// Share that comes twice.
-    pub doubled: f64,
-    /// The least and the most that a datagram takes.
+    /// Probability that a datagram is duplicated.
+    pub duplication: f64,
+    /// Minimum and maximum network delay of a datagram.
     pub delay: (Micros, Micros),
-    /// For how long the dead are remembered.
-    pub memory: Micros,
-    /// What happened: when, at whom, what.
+    /// How long members keep the records of dead members.
+    pub retention: Micros,
+    /// Membership events: time, observing process and event.
     pub events: Vec<(Micros, usize, Event)>,
-    /// What is sent to this one, where it is listened to.
-    pub tapped: Option<(usize, Vec<Frame>)>,
-    /// Datagrams and bytes sent, where they are counted.
-    pub sent: Option<(u64, u64)>,
+    /// Captures the frames delivered to this process, if set.
+    pub captured: Option<(usize, Vec<Frame>)>,
+    /// Number of datagrams and of bytes sent; counted only if set.
+    pub traffic: Option<(u64, u64)>,
     rng: Pcg64Mcg,
     queue: BinaryHeap<Reverse<(Micros, u64, usize)>>,
-    waiting: HashMap<u64, What>,
+    scheduled: HashMap<u64, Scheduled>,
     by_address: HashMap<SocketAddr, usize>,
     next: u64,
 }
 
 impl World {
-    /// An empty world.
+    /// Creates a simulation without processes.
     pub fn new(seed: u64) -> World {
         World {
             now: 1,
             nodes: Vec::new(),
-            cuts: Vec::new(),
+            partitions: Vec::new(),
             loss: 0.0,
-            doubled: 0.0,
+            duplication: 0.0,
             delay: (200, 2_000),
-            memory: 3_600 * PERIOD,
+            retention: 3_600 * PERIOD,
             events: Vec::new(),
-            tapped: None,
-            sent: None,
+            captured: None,
+            traffic: None,
             rng: Pcg64Mcg::seed_from_u64(seed),
             queue: BinaryHeap::new(),
-            waiting: HashMap::new(),
+            scheduled: HashMap::new(),
             by_address: HashMap::new(),
             next: 0,
         }
     }
 
-    /// So many members, each with the first as its seed, started at once.
+    /// Creates `size` members that start at the same time, each with the first one as its seed.
     pub fn fleet(seed: u64, size: usize) -> World {
         let mut world = World::new(seed);
         for n in 0..size {
@@ -113,12 +115,12 @@
         world
     }
 
-    /// The address that the process of this number has.
+    /// Returns the address of process `n`.
     pub fn address(&self, n: usize) -> SocketAddr {
         SocketAddr::from(([127, 0, (n / 60_000) as u8, 1], 1 + (n % 60_000) as u16))
     }
 
-    /// Starts one more process.
+    /// Adds a process and starts it.
     pub fn add(&mut self, id: &str, seeds: Vec<SocketAddr>, known: Vec<(MemberId, SocketAddr)>) -> usize {
         let (n, id) = (self.nodes.len(), MemberId::new(id).expect("an id"));
         let address = self.address(n);
@@ -127,62 +129,62 @@
             id,
             address,
             seeds,
-            known,
+            configured: known,
             view: None,
-            stopped: false,
+            paused: false,
             left: false,
             inbox: VecDeque::new(),
-            runs: 0,
+            run_number: 0,
         };
         self.nodes.push(node);
         self.start(n);
         n
     }
 
-    /// Starts a process, or starts it anew.
+    /// Starts or restarts a process.
     pub fn start(&mut self, n: usize) {
         let (nonce, seed) = (self.rng.next_u64() | 1, self.rng.next_u64());
-        let (now, memory) = (self.now, self.memory);
+        let (now, retention) = (self.now, self.retention);
         let node = &mut self.nodes[n];
-        let set = MembershipConfig {
+        let config = MembershipConfig {
             id: node.id.clone(),
             zone: "zagreb".into(),
             version: "0.2.0".into(),
             address: node.address,
             seeds: node.seeds.clone(),
-            configured: node.known.clone(),
+            configured: node.configured.clone(),
             period: PERIOD,
-            retention: memory,
+            retention,
             nonce,
         };
-        node.view = Some(Membership::new(now, set, seed));
+        node.view = Some(Membership::new(now, config, seed));
         node.inbox.clear();
-        (node.stopped, node.left) = (false, false);
-        let news = MemberInfo { ready: true, ..MemberInfo::at(node.address) };
+        (node.paused, node.left) = (false, false);
+        let info = MemberInfo { ready: true, ..MemberInfo::at(node.address) };
         let mut out = Vec::new();
         if let Some(view) = &mut node.view {
-            view.update_info(now, news, &mut out);
+            view.update_info(now, info, &mut out);
         }
-        self.carry_out(n, out, None);
+        self.execute(n, out, None);
         self.tick_from(n);
     }
 
     fn tick_from(&mut self, n: usize) {
-        self.nodes[n].runs += 1;
-        let runs = self.nodes[n].runs;
-        self.push(self.now, n, What::Tick(runs));
+        self.nodes[n].run_number += 1;
+        let run_number = self.nodes[n].run_number;
+        self.push(self.now, n, Scheduled::Tick(run_number));
     }
 
-    /// Ends a process without a word.
+    /// Ends a process abruptly, without a leave message.
     pub fn kill(&mut self, n: usize) {
         self.nodes[n].view = None;
         self.nodes[n].inbox.clear();
     }
 
-    /// Stops a process, or continues it.
-    pub fn stop(&mut self, n: usize, stopped: bool) {
-        self.nodes[n].stopped = stopped;
-        if !stopped && self.nodes[n].view.is_some() {
+    /// Suspends or resumes a process; a resumed one handles the queued datagrams first.
+    pub fn set_paused(&mut self, n: usize, paused: bool) {
+        self.nodes[n].paused = paused;
+        if !paused && self.nodes[n].view.is_some() {
             for (frame, from) in std::mem::take(&mut self.nodes[n].inbox) {
                 self.deliver(n, frame, from);
             }
@@ -190,132 +192,133 @@
         }
     }
 
-    /// A member says that it goes, and ends.
+    /// Announces that the member leaves, then ends its process.
     pub fn leave(&mut self, n: usize) {
         let (mut out, now) = (Vec::new(), self.now);
         if let Some(view) = &mut self.nodes[n].view {
             view.leave(now, &mut out);
         }
-        self.carry_out(n, out, None);
+        self.execute(n, out, None);
         self.nodes[n].left = true;
         self.kill(n);
     }
 
-    /// A draw below so many.
-    pub fn draw(&mut self, below: u64) -> u64 {
+    /// Returns a random number below `below`.
+    pub fn random_below(&mut self, below: u64) -> u64 {
         self.rng.next_u64() % below.max(1)
     }
 
-    fn chance(&mut self, share: f64) -> bool {
-        crate::measure::chance(&mut self.rng, share)
+    fn chance(&mut self, probability: f64) -> bool {
+        crate::measure::chance(&mut self.rng, probability)
     }
 
-    fn cut(&self, from: usize, to: usize) -> bool {
-        self.cuts.iter().any(|cut| cut.from.contains(&from) && cut.to.contains(&to))
+    fn is_partitioned(&self, from: usize, to: usize) -> bool {
+        self.partitions.iter().any(|p| p.from.contains(&from) && p.to.contains(&to))
     }
 
-    fn push(&mut self, at: Micros, n: usize, what: What) {
+    fn push(&mut self, at: Micros, n: usize, item: Scheduled) {
         self.next += 1;
-        self.waiting.insert(self.next, what);
+        self.scheduled.insert(self.next, item);
         self.queue.push(Reverse((at, self.next, n)));
     }
 
-    fn carry_out(&mut self, n: usize, out: Vec<Action>, back: Option<SocketAddr>) {
-        for out in out {
-            match out {
+    fn execute(&mut self, n: usize, actions: Vec<Action>, reply_to: Option<SocketAddr>) {
+        for action in actions {
+            match action {
                 Action::Notify(event) => self.events.push((self.now, n, event)),
-                Action::Datagram(to, frame) => self.send(n, &to, frame, back),
+                Action::Datagram(to, frame) => self.send(n, &to, frame, reply_to),
                 Action::ExchangeTables(to) => {
-                    let Some(other) = self.whom(&to, back) else { continue };
-                    // A stream needs both ways.
-                    if self.cut(n, other) || self.cut(other, n) {
+                    let Some(other) = self.resolve(&to, reply_to) else { continue };
+                    // A stream needs both directions.
+                    if self.is_partitioned(n, other) || self.is_partitioned(other, n) {
                         continue;
                     }
                     let now = self.now;
                     if let Some(view) = &mut self.nodes[n].view {
                         let frame = Box::new(view.table_frame(now));
-                        self.push(now + self.delay.1 * 2, other, What::Table(frame, Some(n)));
+                        self.push(now + self.delay.1 * 2, other, Scheduled::Table(frame, Some(n)));
                     }
                 }
             }
         }
     }
 
-    fn whom(&self, to: &Destination, back: Option<SocketAddr>) -> Option<usize> {
+    fn resolve(&self, to: &Destination, reply_to: Option<SocketAddr>) -> Option<usize> {
         let address = match to {
             Destination::Member(_, address) | Destination::Address(address) => *address,
-            Destination::Sender => back?,
+            Destination::Sender => reply_to?,
         };
         self.by_address.get(&address).copied()
     }
 
-    fn send(&mut self, n: usize, to: &Destination, frame: Box<Frame>, back: Option<SocketAddr>) {
-        if let Some((frames, bytes)) = &mut self.sent {
+    fn send(&mut self, n: usize, to: &Destination, frame: Box<Frame>, reply_to: Option<SocketAddr>) {
+        if let Some((frames, bytes)) = &mut self.traffic {
             *frames += 1;
             *bytes += codec::encode(&frame, &Key::none()).len() as u64 + 28;
         }
-        let Some(other) = self.whom(to, back) else { return };
-        let times = if self.chance(self.doubled) { 2 } else { 1 };
-        for _ in 0..times {
-            if self.cut(n, other) || self.chance(self.loss) {
+        let Some(other) = self.resolve(to, reply_to) else { return };
+        let copies = if self.chance(self.duplication) { 2 } else { 1 };
+        for _ in 0..copies {
+            if self.is_partitioned(n, other) || self.chance(self.loss) {
                 continue;
             }
-            let at = self.now + self.delay.0 + self.draw(self.delay.1 - self.delay.0 + 1);
+            let at = self.now + self.delay.0 + self.random_below(self.delay.1 - self.delay.0 + 1);
             let from = self.nodes[n].address;
-            self.push(at, other, What::Datagram(frame.clone(), from));
+            self.push(at, other, Scheduled::Datagram(frame.clone(), from));
         }
     }
 
     fn deliver(&mut self, n: usize, frame: Frame, from: SocketAddr) {
-        if let Some((_, frames)) = self.tapped.as_mut().filter(|(tapped, _)| *tapped == n) {
+        if let Some((_, frames)) = self.captured.as_mut().filter(|(receiver, _)| *receiver == n) {
             frames.push(frame.clone());
         }
         let (mut out, now) = (Vec::new(), self.now);
         if let Some(view) = &mut self.nodes[n].view {
             view.handle_frame(now, frame, &mut out);
         }
-        self.carry_out(n, out, Some(from));
+        self.execute(n, out, Some(from));
     }
 
-    fn step(&mut self, n: usize, what: What) {
+    fn step(&mut self, n: usize, item: Scheduled) {
         let node = &mut self.nodes[n];
         if node.view.is_none() {
             return;
         }
-        match what {
-            What::Tick(runs) if node.stopped || runs != node.runs => {}
-            What::Tick(runs) => {
+        match item {
+            Scheduled::Tick(run_number) if node.paused || run_number != node.run_number => {}
+            Scheduled::Tick(run_number) => {
                 let (mut out, now) = (Vec::new(), self.now);
                 let Some(view) = &mut node.view else { return };
                 view.tick(now, &mut out);
                 let due = view.next_deadline();
-                self.carry_out(n, out, None);
-                self.push(due, n, What::Tick(runs));
+                self.execute(n, out, None);
+                self.push(due, n, Scheduled::Tick(run_number));
             }
-            What::Datagram(frame, from) if node.stopped => {
-                if node.inbox.len() < INBOX {
+            Scheduled::Datagram(frame, from) if node.paused => {
+                if node.inbox.len() < INBOX_CAPACITY {
                     node.inbox.push_back((*frame, from));
                 }
             }
-            What::Datagram(frame, from) => self.deliver(n, *frame, from),
-            What::Table(..) if node.stopped => {}
-            What::Table(frame, asker) => {
+            Scheduled::Datagram(frame, from) => self.deliver(n, *frame, from),
+            Scheduled::Table(..) if node.paused => {}
+            Scheduled::Table(frame, requester) => {
                 let (mut out, now) = (Vec::new(), self.now);
                 let Some(view) = &mut node.view else { return };
-                let answer = (asker.is_some() && view.is_active()).then(|| Box::new(view.table_frame(now)));
+                let answer =
+                    (requester.is_some() && view.is_active()).then(|| Box::new(view.table_frame(now)));
                 view.handle_table(now, *frame, &mut out);
-                self.carry_out(n, out, None);
-                if let (Some(answer), Some(asker)) = (answer, asker)
-                    && !self.cut(n, asker)
-                    && !self.cut(asker, n)
+                self.execute(n, out, None);
+                if let (Some(answer), Some(requester)) = (answer, requester)
+                    && !self.is_partitioned(n, requester)
+                    && !self.is_partitioned(requester, n)
                 {
-                    self.push(now + self.delay.1 * 2, asker, What::Table(answer, None));
+                    self.push(now + self.delay.1 * 2, requester, Scheduled::Table(answer, None));
                 }
             }
         }
     }
 
-    /// Goes on until this time.
+    /// Runs the simulation up to the time `until`.
     pub fn run_to(&mut self, until: Micros) {
         while let Some(Reverse((at, number, n))) = self.queue.peek().copied() {
             if at > until {
@@ -323,76 +326,82 @@
             }
             self.queue.pop();
             self.now = self.now.max(at);
-            if let Some(what) = self.waiting.remove(&number) {
-                self.step(n, what);
+            if let Some(item) = self.scheduled.remove(&number) {
+                self.step(n, item);
             }
         }
         self.now = until;
     }
 
-    /// Goes on for so many periods.
+    /// Runs the simulation for a number of probe periods.
     pub fn run(&mut self, periods: u64) {
         self.run_to(self.now + periods * PERIOD);
     }
 
-    /// The ids of those that run.
-    pub fn truth(&self) -> Vec<MemberId> {
-        let runs = |n: &&Node| n.view.is_some() && !n.stopped;
-        let ids: BTreeSet<MemberId> = self.nodes.iter().filter(runs).map(|n| n.id.clone()).collect();
+    /// Returns the sorted ids of the members whose processes are running and not paused.
+    pub fn running_ids(&self) -> Vec<MemberId> {
+        let is_running = |n: &&Node| n.view.is_some() && !n.paused;
+        let ids: BTreeSet<MemberId> = self.nodes.iter().filter(is_running).map(|n| n.id.clone()).collect();
         ids.into_iter().collect()
     }
 
-    /// Invariant 1: every running member that speaks holds those that run, and no other, and calls itself settled; one process
-    /// an id speaks.
-    pub fn agree(&self) -> Result<(), String> {
-        let truth = self.truth();
+    /// Invariant 1: the live members in the view of every running, active member are exactly the running ones, and exactly
+    /// one process is active per id. A process on standby needs another active process under its id.
+    pub fn check_agreement(&self) -> Result<(), String> {
+        let running = self.running_ids();
         for (n, node) in self.nodes.iter().enumerate() {
-            let Some(view) = node.view.as_ref().filter(|_| !node.stopped) else { continue };
+            let Some(view) = node.view.as_ref().filter(|_| !node.paused) else { continue };
             if view.is_standby() {
                 let other = |m: &Node| {
-                    m.id == node.id && m.view.as_ref().is_some_and(Membership::is_active) && !m.stopped
+                    m.id == node.id && m.view.as_ref().is_some_and(Membership::is_active) && !m.paused
                 };
                 if !self.nodes.iter().any(other) {
-                    return Err(format!("{} stands by for nobody", node.id));
+                    return Err(format!("{} is on standby, and no process is active under its id", node.id));
                 }
                 continue;
             }
-            // Counted first: most that do not agree differ in number.
-            let held = if view.member_counts().0 == truth.len() { view.live_members() } else { Vec::new() };
-            if held != truth {
-                let held = view.live_members();
-                return Err(format!("{} ({n}) holds {held:?}, and {truth:?} run", node.id));
+            // Compare the counts first, which is cheaper: most differing views differ in size.
+            let live = if view.member_counts().0 == running.len() { view.live_members() } else { Vec::new() };
+            if live != running {
+                let live = view.live_members();
+                return Err(format!(
+                    "{} ({n}) has {live:?} as live members, but {running:?} are running",
+                    node.id
+                ));
             }
         }
-        for id in &truth {
-            let speaks = self
+        for id in &running {
+            let active = self
                 .nodes
                 .iter()
                 .filter(|m| m.id == *id && m.view.as_ref().is_some_and(Membership::is_active));
-            let speaks = speaks.filter(|m| !m.stopped).count();
-            if speaks != 1 {
-                return Err(format!("{speaks} processes speak as {id}"));
+            let active = active.filter(|m| !m.paused).count();
+            if active != 1 {
+                return Err(format!("{active} processes are active as {id}"));
             }
         }
         Ok(())
     }
 
-    /// Runs until all agree; how long that took, or why they do not within the bound.
+    /// Runs for at least `bound`; returns the time after which all views agreed and stayed so, or why they do not agree.
     pub fn settle(&mut self, bound: Micros) -> Result<Micros, String> {
         let (start, step) = (self.now, PERIOD / 4);
         let mut since = None;
         while self.now - start <= bound {
-            match (self.agree(), since) {
+            match (self.check_agreement(), since) {
                 (Ok(()), None) => since = Some(self.now),
                 (Ok(()), Some(_)) => {}
                 (Err(_), _) => since = None,
             }
-            // Once all agree it is looked at now and then whether they still do.
+            // Once all views agree, check less often whether they still do.
             self.run_to(self.now + if since.is_some() { PERIOD * 4 } else { step });
         }
         match since {
             Some(at) => Ok(at - start),
-            None => Err(self.agree().err().unwrap_or_else(|| "it agreed only in the end".to_string())),
+            None => Err(self
+                .check_agreement()
+                .err()
+                .unwrap_or_else(|| "the views agreed only at the end of the bound".to_string())),
         }
     }
 }
--- a/crates/fleet-sim/tests/view.rs
+++ b/crates/fleet-sim/tests/view.rs
@@ -5,7 +5,7 @@
 use cobaltspool_fleet::codec::FrameKind;
 use cobaltspool_fleet::membership::{Action, Event, Membership};
 use cobaltspool_fleet_sim::schedule;
-use cobaltspool_fleet_sim::world::{Cut, PERIOD, World};
+use cobaltspool_fleet_sim::world::{PERIOD, Partition, World};
 
 fn bound(world: &World) -> u64 {
     Membership::settling_bound(PERIOD, world.nodes.len())
@@ -20,7 +20,7 @@
 
 /// Deaths that were told of members that ran, at whomever.
 fn false_deaths(world: &World) -> usize {
-    let truth = world.truth();
+    let truth = world.running_ids();
     world.events.iter().filter(|(_, _, e)| matches!(e, Event::Down(id, _) if truth.contains(id))).count()
 }
 
@@ -37,8 +37,8 @@
 
 fn cut_both_ways(world: &mut World) {
     let [one, two] = halves(world);
-    world.cuts.push(Cut { from: one.clone(), to: two.clone() });
-    world.cuts.push(Cut { from: two, to: one });
+    world.partitions.push(Partition { from: one.clone(), to: two.clone() });
+    world.partitions.push(Partition { from: two, to: one });
 }
 
 /// Schedules drawn by seed; a wrong one is told with its seed and steps. More of them: `cargo run --release -p
@@ -46,7 +46,7 @@
 #[test]
 fn drawn_schedules_settle_within_the_bound() {
     for seed in 0..150 {
-        let played = schedule::play(seed, 3, 12);
+        let played = schedule::run_schedule(seed, 3, 12);
         assert!(played.settled.is_ok(), "{played:#?}");
     }
 }
@@ -91,7 +91,7 @@
 #[test]
 fn halves_that_outlast_the_memory_of_the_dead_join_again() {
     let mut world = World::new(3);
-    world.memory = 10 * PERIOD;
+    world.retention = 10 * PERIOD;
     for n in 0..8 {
         // Members of different halves share no seed once the first of each is up.
         let seed = world.address(if n < 4 { 0 } else { 4 });
@@ -105,7 +105,7 @@
         assert_eq!(world.nodes[n].view.as_ref().unwrap().members(world.now).len(), 4, "forgotten");
     }
     world.kill(5);
-    world.cuts.clear();
+    world.partitions.clear();
     world.start(5);
     settled(&mut world);
 }
@@ -114,16 +114,16 @@
 fn a_cut_one_way_and_a_ring_settle_once_they_heal() {
     for seed in 0..10 {
         let mut world = fleet(seed, 6);
-        world.cuts.push(Cut { from: BTreeSet::from([2]), to: (0..6).collect() });
+        world.partitions.push(Partition { from: BTreeSet::from([2]), to: (0..6).collect() });
         world.run(40);
-        world.cuts.clear();
+        world.partitions.clear();
         settled(&mut world);
         for a in 0..6usize {
             let to = (0..6).filter(|b| ![a, (a + 1) % 6, (a + 5) % 6].contains(b)).collect();
-            world.cuts.push(Cut { from: BTreeSet::from([a]), to });
+            world.partitions.push(Partition { from: BTreeSet::from([a]), to });
         }
         world.run(60);
-        world.cuts.clear();
+        world.partitions.clear();
         settled(&mut world);
     }
 }
@@ -133,8 +133,8 @@
 fn a_ring_of_three_tells_no_death() {
     for seed in 0..10 {
         let mut world = fleet(seed, 3);
-        world.cuts.push(Cut { from: BTreeSet::from([0]), to: BTreeSet::from([2]) });
-        world.cuts.push(Cut { from: BTreeSet::from([2]), to: BTreeSet::from([0]) });
+        world.partitions.push(Partition { from: BTreeSet::from([0]), to: BTreeSet::from([2]) });
+        world.partitions.push(Partition { from: BTreeSet::from([2]), to: BTreeSet::from([0]) });
         world.run(120);
         assert_eq!(false_deaths(&world), 0);
     }
@@ -152,18 +152,18 @@
     settled(&mut world);
 }
 
-/// Half of the members are stopped for 30 s and continued at once: they doubt themselves first, and bury nobody.
+/// Half of the members are paused for 30 s and continued at once: they doubt themselves first, and bury nobody.
 #[test]
 fn who_missed_time_buries_nobody() {
     for seed in 0..20 {
         let mut world = fleet(seed, 8);
         for n in 4..8 {
-            world.stop(n, true);
+            world.set_paused(n, true);
         }
         world.run(30);
         let before = world.events.len();
         for n in 4..8 {
-            world.stop(n, false);
+            world.set_paused(n, false);
         }
         settled(&mut world);
         let after = &world.events[before..];
@@ -205,7 +205,7 @@
         }
         world.kill(twin);
         world.run(60);
-        assert_eq!(world.agree(), Ok(()));
+        assert_eq!(world.check_agreement(), Ok(()));
         assert!(!stands_by(&world, 3));
     }
 }
@@ -214,11 +214,11 @@
 fn a_process_that_wakes_up_after_its_successor_joined_yields() {
     for seed in 0..20 {
         let mut world = fleet(seed, 5);
-        world.stop(2, true);
+        world.set_paused(2, true);
         let seed_address = world.address(0);
         let next = world.add("n2", vec![seed_address], Vec::new());
         world.run(40);
-        world.stop(2, false);
+        world.set_paused(2, false);
         settled(&mut world);
         assert!(world.nodes[2].view.as_ref().unwrap().is_standby());
         assert!(!world.nodes[next].view.as_ref().unwrap().is_standby());
@@ -231,11 +231,11 @@
 fn a_refutation_that_passes_a_member_by_buries_nobody() {
     let mut world = fleet(1, 300);
     for _ in 0..5 {
-        let some: Vec<usize> = (0..30).map(|_| world.draw(300) as usize).collect();
-        some.iter().for_each(|n| world.stop(*n, true));
-        let time = 2 + world.draw(3);
+        let some: Vec<usize> = (0..30).map(|_| world.random_below(300) as usize).collect();
+        some.iter().for_each(|n| world.set_paused(*n, true));
+        let time = 2 + world.random_below(3);
         world.run(time);
-        some.iter().for_each(|n| world.stop(*n, false));
+        some.iter().for_each(|n| world.set_paused(*n, false));
         world.run(6 - time);
     }
     world.run(15);
@@ -264,7 +264,7 @@
 /// The same seed gives the same play, to the last event.
 #[test]
 fn a_schedule_plays_the_same_each_time() {
-    let (one, two) = (schedule::play(77, 3, 9), schedule::play(77, 3, 9));
+    let (one, two) = (schedule::run_schedule(77, 3, 9), schedule::run_schedule(77, 3, 9));
     assert_eq!((one.steps, one.settled), (two.steps, two.settled));
 }
 
@@ -272,9 +272,9 @@
 #[test]
 fn a_frame_played_again_changes_nothing() {
     let mut world = World::fleet(6, 3);
-    world.tapped = Some((0, Vec::new()));
+    world.captured = Some((0, Vec::new()));
     settled(&mut world);
-    let mut frames = world.tapped.take().map(|(_, frames)| frames).unwrap_or_default();
+    let mut frames = world.captured.take().map(|(_, frames)| frames).unwrap_or_default();
     frames.retain(|f| f.from.id.as_str() != "n0"); // its own greetings: it is its own seed
     assert!(frames.len() > 50);
     let now = world.now;
