--- a/crates/fleet-sim/src/main.rs
+++ b/crates/fleet-sim/src/main.rs
@@ -97,7 +97,7 @@
 
 fn quorum(from: u64, count: u64) -> ExitCode {
     let start = Instant::now();
-    let played = spread(from, count, |seed| quorum::play(seed, SafetyChecks::default()));
+    let played = spread(from, count, |seed| quorum::run_schedule(seed, SafetyChecks::default()));
     let broken: Vec<_> = played.iter().filter(|(_, p)| p.settled.is_err()).collect();
     for (_, outcome) in broken.iter().take(3) {
         println!("{outcome:#?}");
--- a/crates/fleet-sim/tests/quorum.rs
+++ b/crates/fleet-sim/tests/quorum.rs
@@ -1,71 +1,71 @@
-//! The log under drawn faults, of disks too, and with each guard taken out.
+//! The replicated log under random faults, including disk faults, and with single safety checks disabled.
 
 use cobaltspool_fleet::quorum::{Event, SafetyChecks};
-use cobaltspool_fleet_sim::quorum::{ELECTION_TIMEOUT, World, play};
+use cobaltspool_fleet_sim::quorum::{ELECTION_TIMEOUT, World, run_schedule};
 use rstest::rstest;
 
-/// Schedules drawn by seed; a wrong one is told with its seed and steps. More of them: `cargo run --release -p
+/// A failing schedule is printed with its seed and steps. To run more of them: `cargo run --release -p
 /// cobaltspool-fleet-sim -- quorum`.
 #[test]
-fn drawn_schedules_keep_what_was_acknowledged() {
+fn random_schedules_preserve_committed_entries() {
     for seed in 0..400 {
-        let played = play(seed, SafetyChecks::default());
+        let played = run_schedule(seed, SafetyChecks::default());
         assert!(played.settled.is_ok(), "{played:#?}");
         assert!(played.committed > 10, "{played:#?}");
     }
 }
 
-/// The checker is seen to fail: where a start votes at once, one of these schedules breaks.
+/// Shows that the checker detects violations: if a restarted voter may vote at once, one of these schedules fails.
 #[test]
-fn without_reentry_a_schedule_breaks() {
+fn without_rejoin_check_a_schedule_fails() {
     let checks = SafetyChecks { rejoin: false, ..SafetyChecks::default() };
-    let broken = (0..400).map(|seed| play(seed, checks)).find(|p| p.settled.is_err());
-    let broken = broken.expect("no schedule breaks without the guard");
+    let broken = (0..400).map(|seed| run_schedule(seed, checks)).find(|p| p.settled.is_err());
+    let broken = broken.expect("no schedule fails without the rejoin check");
     println!("{broken:#?}");
-    assert!(play(broken.seed, SafetyChecks::default()).settled.is_ok());
+    assert!(run_schedule(broken.seed, SafetyChecks::default()).settled.is_ok());
 }
 
-/// The power fails everywhere at once while writes take their time: what was acknowledged was on a majority's disks by then.
+/// All voters lose power at once while writes are slow: acknowledged entries must already be on a majority of the disks.
 #[rstest]
-#[case::a_promise_waits_for_the_disk(true)]
-#[case::it_does_not(false)]
-fn all_are_killed_at_once(#[case] disk_first: bool) {
+#[case::messages_wait_for_the_disk(true)]
+#[case::messages_do_not_wait(false)]
+fn all_voters_are_killed_at_once(#[case] durable_before_send: bool) {
     let lost = (0..10).filter(|seed| {
-        let mut world =
-            World::new(*seed, 3, SafetyChecks { durable_before_send: disk_first, ..SafetyChecks::default() });
-        world.serve(5 * ELECTION_TIMEOUT, 50_000);
-        world.write = (200_000, 400_000);
-        world.serve(5 * ELECTION_TIMEOUT, 50_000);
+        let mut world = World::new(*seed, 3, SafetyChecks { durable_before_send, ..SafetyChecks::default() });
+        world.run_with_load(5 * ELECTION_TIMEOUT, 50_000);
+        world.write_delay = (200_000, 400_000);
+        world.run_with_load(5 * ELECTION_TIMEOUT, 50_000);
         (0..3).for_each(|n| world.kill(n));
         world.heal();
-        world.settles().is_err()
+        world.settle().is_err()
     });
-    assert_eq!(lost.count() == 0, disk_first);
+    assert_eq!(lost.count() == 0, durable_before_send);
 }
 
-/// Who comes back from a cut or a stop unseats nobody in good health: with the question first, and deaf ears for it, one leader stays.
+/// A voter that returns after a partition must not depose a healthy leader: with the pre-vote, which voters in contact with
+/// a leader reject, the leader stays.
 #[rstest]
-#[case::with_the_question(true)]
-#[case::without(false)]
-fn one_that_comes_back_unseats_nobody(#[case] pre_vote: bool) {
-    let mut unseated = 0;
+#[case::with_pre_vote(true)]
+#[case::without_pre_vote(false)]
+fn a_returning_voter_deposes_no_leader(#[case] pre_vote: bool) {
+    let mut depositions = 0;
     for seed in 0..20 {
         let mut world = World::new(seed, 5, SafetyChecks { pre_vote, ..SafetyChecks::default() });
-        world.serve(5 * ELECTION_TIMEOUT, 50_000);
+        world.run_with_load(5 * ELECTION_TIMEOUT, 50_000);
         let leader = world.leader().expect("a leader");
         let other = (leader + 1) % 5;
-        world.cut_off(other, true);
-        world.serve(6 * ELECTION_TIMEOUT, 50_000);
+        world.isolate(other, true);
+        world.run_with_load(6 * ELECTION_TIMEOUT, 50_000);
         world.heal();
-        world.serve(4 * ELECTION_TIMEOUT, 50_000);
-        assert_eq!(world.wrong, None);
-        unseated += world.events.iter().filter(|(_, _, e)| *e == Event::SteppedDown).count();
+        world.run_with_load(4 * ELECTION_TIMEOUT, 50_000);
+        assert_eq!(world.violation, None);
+        depositions += world.events.iter().filter(|(_, _, e)| *e == Event::SteppedDown).count();
     }
-    assert_eq!(unseated == 0, pre_vote, "{unseated} times");
+    assert_eq!(depositions == 0, pre_vote, "{depositions} depositions");
 }
 
 #[test]
-fn a_schedule_plays_the_same_each_time() {
-    let (one, two) = (play(41, SafetyChecks::default()), play(41, SafetyChecks::default()));
+fn a_schedule_is_deterministic() {
+    let (one, two) = (run_schedule(41, SafetyChecks::default()), run_schedule(41, SafetyChecks::default()));
     assert_eq!((one.steps, one.settled, one.committed), (two.steps, two.settled, two.committed));
 }
