--- a/crates/fleet-sim/src/others.rs
+++ b/crates/fleet-sim/src/baselines.rs
@@ -1,5 +1,6 @@
-//! Plainer detectors, for the measurement only: heartbeats from all to all with a fixed limit, and versions gossiped as in
-//! Scuttlebutt with an accrual detector over their arrivals. Played period by period, each pair of members on its own.
+//! Simpler failure detectors, used for comparison only: all-to-all heartbeats with a fixed timeout, and versions gossiped
+//! as in Scuttlebutt with an accrual detector over their arrivals. Simulated in steps of one period, for each pair of
+//! members separately.
 
 use std::collections::BTreeSet;
 use std::time::Instant;
@@ -7,19 +8,19 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::measure::{Played, chance};
+use crate::measure::{Measurement, chance};
 
-/// Which one.
+/// Kind of detector.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Detector {
-    /// A datagram a period from each to each; down after five periods of silence.
+    /// Each member sends a datagram to every other one each period; a member is down after five periods of silence.
     Heartbeats,
-    /// Three exchanges a period a member; down where the silence would come by chance once in 10^8.
+    /// Each member makes three exchanges per period; a member is down once the probability of its silence is below 10^-8.
     Accrual,
 }
 
 impl Detector {
-    /// Its name in the table.
+    /// Name of the detector in the table.
     pub fn name(self) -> &'static str {
         match self {
             Detector::Heartbeats => "all to all",
@@ -28,18 +29,22 @@
     }
 }
 
-/// Bytes of a datagram that carries nothing: UDP and IP, seal, sender and count.
-const FRAME: f64 = 28.0 + 35.0 + 24.0;
-/// Bytes of one member's version in a digest: a short id and a count.
-const VERSION: f64 = 12.0;
-const SILENT: f64 = 5.0;
-const PHI: f64 = 8.0;
-const PEERS: usize = 3;
+/// Bytes of an empty datagram: UDP and IP headers, authentication seal, sender and counter.
+const FRAME_BYTES: f64 = 28.0 + 35.0 + 24.0;
+/// Bytes of one member's version in a digest: a short id and a counter.
+const VERSION_BYTES: f64 = 12.0;
+/// Heartbeat timeout in periods.
+const SILENCE_LIMIT: f64 = 5.0;
+/// Threshold of the accrual detector.
+const PHI_THRESHOLD: f64 = 8.0;
+/// Exchanges per member and period.
+const EXCHANGES: usize = 3;
 
 struct Members {
     size: usize,
     detector: Detector,
-    /// What each holds of each: the highest version, when it came, the mean time between, and whether it is held down.
+    /// For each pair of observer and target: the highest version, its arrival time, the mean interval between arrivals,
+    /// and whether the observer considers the target down.
     version: Vec<u32>,
     heard: Vec<f32>,
     mean: Vec<f32>,
@@ -48,7 +53,7 @@
     alive: Vec<bool>,
     stalled: Vec<u32>,
     rng: Pcg64Mcg,
-    told: Vec<(u64, usize)>,
+    reports: Vec<(u64, usize)>,
     sent: f64,
 }
 
@@ -66,7 +71,7 @@
             alive: vec![true; size],
             stalled: vec![0; size],
             rng: Pcg64Mcg::seed_from_u64(seed),
-            told: Vec::new(),
+            reports: Vec::new(),
             sent: 0.0,
         }
     }
@@ -75,7 +80,7 @@
         chance(&mut self.rng, loss)
     }
 
-    fn hears(&mut self, now: u64, observer: usize, target: usize, version: u32) {
+    fn record_version(&mut self, now: u64, observer: usize, target: usize, version: u32) {
         let at = observer * self.size + target;
         if version <= self.version[at] {
             return;
@@ -95,18 +100,18 @@
             match self.detector {
                 Detector::Heartbeats => {
                     for other in 0..self.size {
-                        self.sent += FRAME;
+                        self.sent += FRAME_BYTES;
                         if other != n && !self.lost(loss) && self.alive[other] {
                             let version = self.own[n];
-                            self.hears(now, other, n, version);
+                            self.record_version(now, other, n, version);
                         }
                     }
                 }
                 Detector::Accrual => {
-                    for _ in 0..PEERS {
+                    for _ in 0..EXCHANGES {
                         let peer = (self.rng.next_u64() % self.size as u64) as usize;
-                        // Digest there, and digest and news back.
-                        self.sent += 2.0 * (FRAME + VERSION * self.size as f64);
+                        // A digest to the peer, and a digest with updates back.
+                        self.sent += 2.0 * (FRAME_BYTES + VERSION_BYTES * self.size as f64);
                         if peer == n || !runs[peer] || self.lost(loss) || self.lost(loss) {
                             continue;
                         }
@@ -116,10 +121,10 @@
                             };
                             let (mine, its) = (held(self, n), held(self, peer));
                             if target != n {
-                                self.hears(now, n, target, its);
+                                self.record_version(now, n, target, its);
                             }
                             if target != peer {
-                                self.hears(now, peer, target, mine);
+                                self.record_version(now, peer, target, mine);
                             }
                         }
                     }
@@ -131,25 +136,25 @@
                 let at = n * self.size + target;
                 let silent = f64::from(now as f32 - self.heard[at]);
                 let over = match self.detector {
-                    Detector::Heartbeats => silent >= SILENT,
+                    Detector::Heartbeats => silent >= SILENCE_LIMIT,
                     Detector::Accrual => {
-                        silent / f64::from(self.mean[at].max(0.1)) * std::f64::consts::LOG10_E > PHI
+                        silent / f64::from(self.mean[at].max(0.1)) * std::f64::consts::LOG10_E > PHI_THRESHOLD
                     }
                 };
                 if target != n && over && !self.down[at] {
                     self.down[at] = true;
-                    self.told.push((now, target));
+                    self.reports.push((now, target));
                 }
             }
         }
     }
 }
 
-fn deaths(detector: Detector, size: usize, seed: u64, loss: f64, stalls: bool, time: u64) -> f64 {
+fn false_deaths(detector: Detector, size: usize, seed: u64, loss: f64, stalls: bool, time: u64) -> f64 {
     let mut members = Members::new(detector, size, seed);
     for now in 1..=30 + time {
         if now == 30 {
-            members.told.clear();
+            members.reports.clear();
         }
         if stalls && now % 6 == 0 {
             for _ in 0..(size / 10).max(1) {
@@ -159,13 +164,13 @@
         }
         members.period(now, loss);
     }
-    let told: BTreeSet<(usize, u64)> = members.told.iter().map(|(at, who)| (*who, at / 30)).collect();
-    told.len() as f64 * 3600.0 / time as f64
+    let reports: BTreeSet<(usize, u64)> = members.reports.iter().map(|(at, who)| (*who, at / 30)).collect();
+    reports.len() as f64 * 3600.0 / time as f64
 }
 
-/// Plays one detector at a size.
-pub fn play(detector: Detector, size: usize, plays: u64, time: u64) -> Played {
-    let mut played = Played::default();
+/// Measures one detector at a fleet size.
+pub fn measure(detector: Detector, size: usize, plays: u64, time: u64) -> Measurement {
+    let mut measured = Measurement::default();
     for seed in 0..plays {
         let mut members = Members::new(detector, size, seed);
         let mut now = 0;
@@ -177,31 +182,31 @@
             now
         };
         let killed = run(&mut members, 30);
-        members.told.clear();
+        members.reports.clear();
         members.alive[size / 2] = false;
         run(&mut members, 40);
         let times: Vec<f64> = members
-            .told
+            .reports
             .iter()
             .filter(|(_, who)| *who == size / 2)
             .map(|(at, _)| (at - killed) as f64)
             .collect();
-        played.first.push(times.iter().copied().fold(f64::NAN, f64::min));
-        played.last.push(times.iter().copied().fold(f64::NAN, f64::max));
+        measured.first.push(times.iter().copied().fold(f64::NAN, f64::min));
+        measured.last.push(times.iter().copied().fold(f64::NAN, f64::max));
         for (n, (loss, stalls)) in
             [(0.0, false), (0.05, false), (0.2, false), (0.0, true)].into_iter().enumerate()
         {
-            played.deaths[n] += deaths(detector, size, seed, loss, stalls, time) / plays as f64;
+            measured.deaths[n] += false_deaths(detector, size, seed, loss, stalls, time) / plays as f64;
         }
     }
-    played.first.sort_by(f64::total_cmp);
-    played.last.sort_by(f64::total_cmp);
+    measured.first.sort_by(f64::total_cmp);
+    measured.last.sort_by(f64::total_cmp);
     let mut members = Members::new(detector, size, 1);
     let start = Instant::now();
     for now in 1..=20 {
         members.period(now, 0.0);
     }
-    played.cpu = start.elapsed().as_secs_f64() * 1e6 / 20.0 / size as f64;
-    played.bytes = members.sent / 20.0 / size as f64;
-    played
+    measured.cpu = start.elapsed().as_secs_f64() * 1e6 / 20.0 / size as f64;
+    measured.bytes = members.sent / 20.0 / size as f64;
+    measured
 }
--- a/crates/fleet-sim/src/main.rs
+++ b/crates/fleet-sim/src/main.rs
@@ -1,4 +1,4 @@
-//! Plays the simulation and prints tables: `schedules` looks for a break, `detect` measures the view and plainer detectors.
+//! Runs the simulation: `schedules` and `quorum` search for invariant violations, `detect` compares failure detectors.
 
 use std::process::ExitCode;
 use std::time::Instant;
@@ -24,26 +24,26 @@
     let most = bpaf::long("most").help("the largest fleet").argument("N").fallback(30);
     let schedules = bpaf::construct!(Task::Schedules { from, count, least, most })
         .to_options()
-        .descr("Plays drawn schedules of faults; status 1 if one does not settle within the bound")
+        .descr("Runs random schedules of faults; exits with status 1 if one does not settle within the bound")
         .command("schedules");
     let from = bpaf::long("from").help("the first seed").argument("SEED").fallback(0);
     let count = bpaf::long("count").help("how many schedules").argument("N").fallback(10_000);
     let quorum = bpaf::construct!(Task::Quorum { from, count })
         .to_options()
-        .descr("Plays drawn schedules of faults, of disks too, on 3, 5 and 7 voters; status 1 if one breaks")
+        .descr("Runs random schedules of faults, including disk faults, on 3, 5 and 7 voters; exits with status 1 if one fails")
         .command("quorum");
     let sizes = bpaf::long("size")
         .help("a fleet's size; may be given several times")
         .argument("N")
         .some("give --size");
-    let plays = bpaf::long("plays").help("plays a figure").argument("N").fallback(5);
+    let plays = bpaf::long("plays").help("number of runs for each figure").argument("N").fallback(5);
     let detect = bpaf::construct!(Task::Detect { sizes, plays })
         .to_options()
-        .descr("Measures detection, settling, false deaths and traffic, with the plainer detectors beside")
+        .descr("Measures detection, settling, false deaths and traffic, compared with simpler detectors")
         .command("detect");
     bpaf::construct!([schedules, quorum, detect])
         .to_options()
-        .descr("The fleet's view and log on simulated time")
+        .descr("Simulation of the membership protocol and of the quorum")
 }
 
 fn main() -> ExitCode {
@@ -57,62 +57,63 @@
     }
 }
 
-/// Spreads the seeds over the machine's cores; each schedule is one thread's alone. The outcomes in the seeds' order.
-fn spread<T: Send>(from: u64, count: u64, play: impl Fn(u64) -> T + Sync) -> Vec<(u64, T)> {
+/// Distributes the seeds over one thread per core; each schedule runs on a single thread. Returns the outcomes in the
+/// order of the seeds.
+fn run_parallel<T: Send>(from: u64, count: u64, run: impl Fn(u64) -> T + Sync) -> Vec<(u64, T)> {
     let cores = std::thread::available_parallelism().map_or(1, std::num::NonZero::get) as u64;
-    let play = &play;
-    let mut played: Vec<(u64, T)> = std::thread::scope(|scope| {
+    let run = &run;
+    let mut outcomes: Vec<(u64, T)> = std::thread::scope(|scope| {
         let workers: Vec<_> = (0..cores)
             .map(|core| {
                 let seeds = (from..from + count).filter(move |seed| seed % cores == core);
-                scope.spawn(move || seeds.map(|seed| (seed, play(seed))).collect::<Vec<_>>())
+                scope.spawn(move || seeds.map(|seed| (seed, run(seed))).collect::<Vec<_>>())
             })
             .collect();
-        workers.into_iter().flat_map(|w| w.join().expect("a schedule brought its thread down")).collect()
+        workers.into_iter().flat_map(|w| w.join().expect("a schedule panicked")).collect()
     });
-    played.sort_by_key(|(seed, _)| *seed);
-    played
+    outcomes.sort_by_key(|(seed, _)| *seed);
+    outcomes
 }
 
 fn schedules(from: u64, count: u64, least: usize, most: usize) -> ExitCode {
     let start = Instant::now();
-    let played = spread(from, count, |seed| schedule::run_schedule(seed, least, most));
-    let broken: Vec<_> = played.iter().filter(|(_, p)| p.settled.is_err()).collect();
-    for (_, outcome) in broken.iter().take(5) {
+    let outcomes = run_parallel(from, count, |seed| schedule::run_schedule(seed, least, most));
+    let failed: Vec<_> = outcomes.iter().filter(|(_, p)| p.settled.is_err()).collect();
+    for (_, outcome) in failed.iter().take(5) {
         println!("{outcome:#?}");
     }
-    let mut times: Vec<f64> = played.iter().filter_map(|(_, p)| p.settled.clone().ok()).collect();
+    let mut times: Vec<f64> = outcomes.iter().filter_map(|(_, p)| p.settled.clone().ok()).collect();
     times.sort_by(f64::total_cmp);
     println!(
-        "{} schedules of {least} to {most} members in {:.0} s: {} broken; settled after the last fault in {:.1} periods (median), {:.1} (p99), {:.1} (most)",
-        played.len(),
+        "{} schedules of {least} to {most} members in {:.0} s: {} failed; settled after the last fault in {:.1} periods (median), {:.1} (p99), {:.1} (max)",
+        outcomes.len(),
         start.elapsed().as_secs_f64(),
-        broken.len(),
-        measure::rank(&times, 0.5),
-        measure::rank(&times, 0.99),
-        measure::rank(&times, 1.0),
+        failed.len(),
+        measure::quantile(&times, 0.5),
+        measure::quantile(&times, 0.99),
+        measure::quantile(&times, 1.0),
     );
-    if broken.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if failed.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
 fn quorum(from: u64, count: u64) -> ExitCode {
     let start = Instant::now();
-    let played = spread(from, count, |seed| quorum::run_schedule(seed, SafetyChecks::default()));
-    let broken: Vec<_> = played.iter().filter(|(_, p)| p.settled.is_err()).collect();
-    for (_, outcome) in broken.iter().take(3) {
+    let outcomes = run_parallel(from, count, |seed| quorum::run_schedule(seed, SafetyChecks::default()));
+    let failed: Vec<_> = outcomes.iter().filter(|(_, p)| p.settled.is_err()).collect();
+    for (_, outcome) in failed.iter().take(3) {
         println!("{outcome:#?}");
     }
-    let mut times: Vec<f64> = played.iter().filter_map(|(_, p)| p.settled.clone().ok()).collect();
+    let mut times: Vec<f64> = outcomes.iter().filter_map(|(_, p)| p.settled.clone().ok()).collect();
     times.sort_by(f64::total_cmp);
     println!(
-        "{} schedules of 3, 5 and 7 voters in {:.0} s: {} broken; {} orders committed; settled after the last fault in {:.1} election timeouts (median), {:.1} (p99), {:.1} (most)",
-        played.len(),
+        "{} schedules of 3, 5 and 7 voters in {:.0} s: {} failed; {} commands committed; settled after the last fault in {:.1} election timeouts (median), {:.1} (p99), {:.1} (max)",
+        outcomes.len(),
         start.elapsed().as_secs_f64(),
-        broken.len(),
-        played.iter().map(|(_, p)| p.committed).sum::<u64>(),
-        measure::rank(&times, 0.5),
-        measure::rank(&times, 0.99),
-        measure::rank(&times, 1.0),
+        failed.len(),
+        outcomes.iter().map(|(_, p)| p.committed).sum::<u64>(),
+        measure::quantile(&times, 0.5),
+        measure::quantile(&times, 0.99),
+        measure::quantile(&times, 1.0),
     );
-    if broken.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if failed.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
--- a/crates/fleet-sim/tests/model.rs
+++ b/crates/fleet-sim/tests/model.rs
@@ -1,5 +1,5 @@
-//! Every order of messages, campaigns and a forgetful disk, up to a depth: three voters from the moment that one leads. The disk is
-//! quick here, and time stands still: what waits for either is the simulation's.
+//! Model check of every order of messages, elections and a loss of disk state up to a depth, for three voters of which one
+//! is the leader. Writes complete at once and time does not advance here; the simulation covers slow disks and timeouts.
 
 use std::collections::BTreeMap;
 
@@ -14,14 +14,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     voters: Vec<Voter>,
-    /// Letters on their way, in no order.
+    /// Messages in flight, in no order.
     messages: Vec<Message>,
     committed: BTreeMap<u64, Entry>,
     leaders: BTreeMap<u64, usize>,
-    orders: usize,
+    commands: usize,
     campaigns: usize,
-    forgot: Option<usize>,
-    wrong: bool,
+    lost_state: Option<usize>,
+    violation: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -29,10 +29,10 @@
     Deliver(usize),
     Campaign(usize),
     Command(usize),
-    Forget(usize),
+    LoseState(usize),
 }
 
-struct Play {
+struct VoterModel {
     checks: SafetyChecks,
 }
 
@@ -40,15 +40,21 @@
     MemberId::new(&format!("n{n}")).expect("an id")
 }
 
-fn start(n: usize, nonce: u64, checks: SafetyChecks, held: RecoveredState, out: &mut Vec<Action>) -> Voter {
+fn start(
+    n: usize,
+    nonce: u64,
+    checks: SafetyChecks,
+    recovered: RecoveredState,
+    out: &mut Vec<Action>,
+) -> Voter {
     let voters = (0..VOTERS).map(id).collect();
-    let set = Config { id: id(n), voters, election_timeout: 1_000, nonce, trust_disk: false, checks };
-    Voter::new(0, set, held, 1, out)
+    let config = Config { id: id(n), voters, election_timeout: 1_000, nonce, trust_disk: false, checks };
+    Voter::new(0, config, recovered, 1, out)
 }
 
 impl World {
-    /// Carries out what a voter wants; its writes are done at once.
-    fn carry_out(&mut self, n: usize, out: Vec<Action>) {
+    /// Executes the actions of a voter; its writes complete at once.
+    fn execute(&mut self, n: usize, out: Vec<Action>) {
         let mut out = std::collections::VecDeque::from(out);
         while let Some(next) = out.pop_front() {
             match next {
@@ -57,15 +63,15 @@
                     self.voters[n].handle_write_completed(0, number, &mut more);
                     out.extend(more);
                 }
-                // One on its way is as good as two of the same.
+                // A message that is in flight already is not added again: duplicates would only enlarge the state space.
                 Action::Send(message) if self.messages.contains(&message) => {}
                 Action::Send(message) => self.messages.push(message),
                 Action::Apply { index, entry } => {
                     let first = self.committed.entry(index).or_insert_with(|| entry.clone());
-                    self.wrong |= *first != entry;
+                    self.violation |= *first != entry;
                 }
                 Action::Notify(Event::BecameLeader { term }) => {
-                    self.wrong |= *self.leaders.entry(term).or_insert(n) != n;
+                    self.violation |= *self.leaders.entry(term).or_insert(n) != n;
                 }
                 Action::Restore { .. }
                 | Action::LeadershipConfirmed { .. }
@@ -77,34 +83,34 @@
         self.messages.sort_by_cached_key(|message| format!("{message:?}"));
     }
 
-    fn with(&mut self, n: usize, what: impl FnOnce(&mut Voter, &mut Vec<Action>)) {
+    fn with_voter(&mut self, n: usize, call: impl FnOnce(&mut Voter, &mut Vec<Action>)) {
         let mut out = Vec::new();
-        what(&mut self.voters[n], &mut out);
-        self.carry_out(n, out);
+        call(&mut self.voters[n], &mut out);
+        self.execute(n, out);
     }
 
     fn deliver(&mut self, at: usize) {
         let message = self.messages.remove(at);
         let to = (0..VOTERS).find(|n| id(*n) == message.to).expect("a voter");
-        self.with(to, |voter, out| voter.step(0, message, out));
+        self.with_voter(to, |voter, out| voter.step(0, message, out));
     }
 }
 
-impl Model for Play {
+impl Model for VoterModel {
     type State = World;
     type Action = Step;
 
-    /// All are in, the first leads, and nothing is under way.
+    /// The initial state: all voters are voting, the first one is the leader, and no message is in flight.
     fn init_states(&self) -> Vec<World> {
         let mut world = World {
             voters: Vec::new(),
             messages: Vec::new(),
             committed: BTreeMap::new(),
             leaders: BTreeMap::new(),
-            orders: 0,
+            commands: 0,
             campaigns: 0,
-            forgot: None,
-            wrong: false,
+            lost_state: None,
+            violation: false,
         };
         let mut outs = Vec::new();
         for n in 0..VOTERS {
@@ -113,12 +119,12 @@
             outs.push(out);
         }
         for (n, out) in outs.into_iter().enumerate() {
-            world.carry_out(n, out);
+            world.execute(n, out);
         }
         while !world.messages.is_empty() {
             world.deliver(0);
         }
-        world.with(0, |voter, out| voter.campaign(0, out));
+        world.with_voter(0, |voter, out| voter.campaign(0, out));
         while !world.messages.is_empty() {
             world.deliver(0);
         }
@@ -129,14 +135,14 @@
     fn actions(&self, world: &World, steps: &mut Vec<Step>) {
         steps.extend((0..world.messages.len()).map(Step::Deliver));
         for (n, voter) in world.voters.iter().enumerate() {
-            if voter.role() == Role::Leader && world.orders < 1 {
+            if voter.role() == Role::Leader && world.commands < 1 {
                 steps.push(Step::Command(n));
             }
             if voter.role() != Role::Leader && world.campaigns < 1 {
                 steps.push(Step::Campaign(n));
             }
-            if world.forgot.is_none() && voter.role() != Role::Leader {
-                steps.push(Step::Forget(n));
+            if world.lost_state.is_none() && voter.role() != Role::Leader {
+                steps.push(Step::LoseState(n));
             }
         }
     }
@@ -147,29 +153,30 @@
             Step::Deliver(at) => next.deliver(at),
             Step::Campaign(n) => {
                 next.campaigns += 1;
-                next.with(n, |voter, out| voter.campaign(0, out));
+                next.with_voter(n, |voter, out| voter.campaign(0, out));
             }
             Step::Command(n) => {
-                next.orders += 1;
-                let order = Command { session: n as u64, seq: 1, body: vec![n as u8] };
-                next.with(n, |voter, out| {
-                    let _ = voter.propose(order, out);
+                next.commands += 1;
+                let command = Command { session: n as u64, seq: 1, body: vec![n as u8] };
+                next.with_voter(n, |voter, out| {
+                    let _ = voter.propose(command, out);
                 });
             }
-            Step::Forget(n) => {
-                next.forgot = Some(n);
+            Step::LoseState(n) => {
+                next.lost_state = Some(n);
                 let mut out = Vec::new();
                 next.voters[n] = start(n, 2, self.checks, RecoveredState::default(), &mut out);
-                next.carry_out(n, out);
+                next.execute(n, out);
             }
         }
         (next != *world).then_some(next)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
-        vec![Property::always("what was acknowledged stays, one leader a term", |_, world: &World| {
-            !world.wrong
-        })]
+        vec![Property::always(
+            "committed entries never change, and each term has one leader",
+            |_, world: &World| !world.violation,
+        )]
     }
 
     fn within_boundary(&self, world: &World) -> bool {
@@ -177,36 +184,38 @@
     }
 }
 
-/// States that were seen, and whether one was wrong.
-fn walk(checks: SafetyChecks, depth: usize) -> (usize, bool) {
+/// Returns the number of states visited, and whether one of them violates the invariants.
+fn explore(checks: SafetyChecks, depth: usize) -> (usize, bool) {
     let checks = SafetyChecks { pre_vote: false, check_quorum: false, ..checks };
-    let walked = Play { checks }.checker().threads(4).target_max_depth(depth).spawn_bfs().join();
-    let wrong = walked.discoveries().into_values().next();
-    if let Some(path) = &wrong {
+    let explored = VoterModel { checks }.checker().threads(4).target_max_depth(depth).spawn_bfs().join();
+    let violation = explored.discoveries().into_values().next();
+    if let Some(path) = &violation {
         println!("{:?}", path.clone().into_actions());
     }
-    (walked.unique_state_count(), wrong.is_some())
+    (explored.unique_state_count(), violation.is_some())
 }
 
 #[test]
-fn no_order_of_events_breaks_the_log() {
-    let (states, wrong) = walk(SafetyChecks::default(), depth());
+fn no_order_of_events_violates_the_invariants() {
+    let (states, violated) = explore(SafetyChecks::default(), depth());
     println!("{states} states to depth {}", depth());
-    assert!(!wrong && states > 1_000, "{states} states");
+    assert!(!violated && states > 1_000, "{states} states");
 }
 
-/// The walk is seen to fail: one that forgot and votes at once loses an order, or makes two leaders.
+/// Shows that the check detects violations: a voter that lost its state and votes at once loses a committed entry or
+/// makes a second leader possible.
 #[test]
-fn without_reentry_an_order_of_events_breaks_it() {
-    assert!(walk(SafetyChecks { rejoin: false, ..SafetyChecks::default() }, 12).1);
+fn without_rejoin_check_an_order_of_events_violates_them() {
+    assert!(explore(SafetyChecks { rejoin: false, ..SafetyChecks::default() }, 12).1);
 }
 
-/// The guard that only a race needs: what an earlier life promised counts no more.
+/// The incarnation check, which only matters in a race: votes of an earlier incarnation must no longer count.
 #[test]
-#[ignore = "a walk of minutes"]
-fn without_lives_an_order_of_events_breaks_it() {
-    let (states, wrong) = walk(SafetyChecks { incarnations: false, ..SafetyChecks::default() }, depth());
-    println!("{states} states, {wrong}");
+#[ignore = "takes minutes"]
+fn without_incarnation_check_an_order_of_events_violates_them() {
+    let (states, violated) =
+        explore(SafetyChecks { incarnations: false, ..SafetyChecks::default() }, depth());
+    println!("{states} states, violated: {violated}");
 }
 
 fn depth() -> usize {
--- a/crates/fleet-sim/tests/view.rs
+++ b/crates/fleet-sim/tests/view.rs
@@ -1,4 +1,4 @@
-//! The view under drawn faults, and under the named hard ones.
+//! The membership views under random faults, and under specific difficult ones.
 
 use std::collections::BTreeSet;
 
@@ -18,7 +18,7 @@
     })
 }
 
-/// Deaths that were told of members that ran, at whomever.
+/// Counts the reports, at any member, that a running member is down.
 fn false_deaths(world: &World) -> usize {
     let truth = world.running_ids();
     world.events.iter().filter(|(_, _, e)| matches!(e, Event::Down(id, _) if truth.contains(id))).count()
@@ -35,16 +35,16 @@
     [(0..size / 2).collect(), (size / 2..size).collect()]
 }
 
-fn cut_both_ways(world: &mut World) {
+fn partition_both_ways(world: &mut World) {
     let [one, two] = halves(world);
     world.partitions.push(Partition { from: one.clone(), to: two.clone() });
     world.partitions.push(Partition { from: two, to: one });
 }
 
-/// Schedules drawn by seed; a wrong one is told with its seed and steps. More of them: `cargo run --release -p
+/// A failing schedule is printed with its seed and steps. To run more of them: `cargo run --release -p
 /// cobaltspool-fleet-sim -- schedules`.
 #[test]
-fn drawn_schedules_settle_within_the_bound() {
+fn random_schedules_settle_within_the_bound() {
     for seed in 0..150 {
         let played = schedule::run_schedule(seed, 3, 12);
         assert!(played.settled.is_ok(), "{played:#?}");
@@ -64,16 +64,16 @@
     assert_eq!(generations, [2; 7], "a newer start is above the older");
 }
 
-/// A leave is no death; a death on the way out is no leave.
+/// A leave is not reported as a death, and the death of a member that is leaving is not reported as a leave.
 #[test]
-fn a_leave_and_a_death_are_told_apart() {
+fn leaves_and_deaths_are_distinguished() {
     let mut world = fleet(2, 5);
     world.leave(4);
     settled(&mut world);
-    let told =
+    let count =
         |world: &World, what: fn(&Event) -> bool| world.events.iter().filter(|(_, _, e)| what(e)).count();
-    assert_eq!(told(&world, |e| matches!(e, Event::Down(..) | Event::Suspected(..))), 0);
-    assert_eq!(told(&world, |e| matches!(e, Event::Left(_))), 4);
+    assert_eq!(count(&world, |e| matches!(e, Event::Down(..) | Event::Suspected(..))), 0);
+    assert_eq!(count(&world, |e| matches!(e, Event::Left(_))), 4);
     let (now, mut out) = (world.now, Vec::new());
     let address = world.nodes[3].address;
     let leaving = cobaltspool_fleet::member::MemberInfo {
@@ -84,25 +84,30 @@
     world.run(2);
     world.kill(3);
     settled(&mut world);
-    assert_eq!(told(&world, |e| matches!(e, Event::Down(..))), 3);
+    assert_eq!(count(&world, |e| matches!(e, Event::Down(..))), 3);
 }
 
-/// Both halves bury the other for longer than they remember the dead, and a third is started anew as the cut heals.
+/// Each half declares the other dead for longer than it retains dead members, and one member restarts as the partition
+/// heals.
 #[test]
-fn halves_that_outlast_the_memory_of_the_dead_join_again() {
+fn halves_rejoin_after_a_partition_longer_than_the_retention() {
     let mut world = World::new(3);
     world.retention = 10 * PERIOD;
     for n in 0..8 {
-        // Members of different halves share no seed once the first of each is up.
+        // The halves have different seeds; only member 4 has a seed in both.
         let seed = world.address(if n < 4 { 0 } else { 4 });
         let bridge = if n == 4 { vec![seed, world.address(0)] } else { vec![seed] };
         world.add(&format!("n{n}"), bridge, Vec::new());
     }
     settled(&mut world);
-    cut_both_ways(&mut world);
+    partition_both_ways(&mut world);
     world.run(80);
     for n in [0, 7] {
-        assert_eq!(world.nodes[n].view.as_ref().unwrap().members(world.now).len(), 4, "forgotten");
+        assert_eq!(
+            world.nodes[n].view.as_ref().unwrap().members(world.now).len(),
+            4,
+            "members of the other half are still in the view"
+        );
     }
     world.kill(5);
     world.partitions.clear();
@@ -111,7 +116,7 @@
 }
 
 #[test]
-fn a_cut_one_way_and_a_ring_settle_once_they_heal() {
+fn views_settle_after_a_one_way_partition_and_a_ring_heal() {
     for seed in 0..10 {
         let mut world = fleet(seed, 6);
         world.partitions.push(Partition { from: BTreeSet::from([2]), to: (0..6).collect() });
@@ -128,9 +133,9 @@
     }
 }
 
-/// A and B, B and C, not A and C: who is reached by way of another is not dead.
+/// A reaches B, B reaches C, A does not reach C: a member that is reached through another one is not dead.
 #[test]
-fn a_ring_of_three_tells_no_death() {
+fn an_indirectly_reached_member_is_not_reported_dead() {
     for seed in 0..10 {
         let mut world = fleet(seed, 3);
         world.partitions.push(Partition { from: BTreeSet::from([0]), to: BTreeSet::from([2]) });
@@ -141,7 +146,7 @@
 }
 
 #[test]
-fn thirty_starts_in_a_minute_leave_one_member() {
+fn thirty_restarts_in_a_minute_result_in_one_member() {
     let mut world = fleet(4, 5);
     for _ in 0..30 {
         world.kill(2);
@@ -152,9 +157,10 @@
     settled(&mut world);
 }
 
-/// Half of the members are paused for 30 s and continued at once: they doubt themselves first, and bury nobody.
+/// Half of the members are paused for 30 s and resumed at once: they detect their own stall and declare no other member
+/// dead.
 #[test]
-fn who_missed_time_buries_nobody() {
+fn resumed_members_declare_no_deaths() {
     for seed in 0..20 {
         let mut world = fleet(seed, 8);
         for n in 4..8 {
@@ -168,15 +174,15 @@
         settled(&mut world);
         let after = &world.events[before..];
         assert!(after.iter().any(|(_, n, e)| *n >= 4 && matches!(e, Event::Stalled(_))));
-        let buried = |(_, n, e): &&(u64, usize, Event)| {
+        let declared = |(_, n, e): &&(u64, usize, Event)| {
             *n >= 4 && matches!(e, Event::Down(_, by) if by.as_str() == format!("n{n}"))
         };
-        assert_eq!(after.iter().filter(buried).count(), 0, "{after:?}");
+        assert_eq!(after.iter().filter(declared).count(), 0, "{after:?}");
     }
 }
 
 #[test]
-fn no_death_is_told_under_a_fifth_lost_and_200_ms_of_delay() {
+fn no_false_deaths_at_20_percent_loss_and_200_ms_delay() {
     let mut deaths = 0;
     for seed in 0..5 {
         let mut world = fleet(seed, 9);
@@ -187,31 +193,32 @@
     assert_eq!(deaths, 0);
 }
 
-/// Two processes under one id: both hear of it, the older start falls silent, and speaks again once the newer is gone.
+/// Two processes run under one id: both learn of it, the one started first goes on standby, and is active again once the
+/// other has ended.
 #[test]
-fn of_two_under_one_id_the_older_start_yields() {
+fn of_two_processes_under_one_id_the_older_goes_on_standby() {
     for seed in 0..20 {
         let mut world = fleet(seed, 5);
         let seed_address = world.address(1);
-        let twin = world.add("n3", vec![seed_address], Vec::new());
+        let duplicate = world.add("n3", vec![seed_address], Vec::new());
         settled(&mut world);
-        let stands_by = |world: &World, n: usize| world.nodes[n].view.as_ref().unwrap().is_standby();
-        assert!(stands_by(&world, 3) && !stands_by(&world, twin));
-        for n in [3, twin] {
+        let is_standby = |world: &World, n: usize| world.nodes[n].view.as_ref().unwrap().is_standby();
+        assert!(is_standby(&world, 3) && !is_standby(&world, duplicate));
+        for n in [3, duplicate] {
             assert!(
                 world.nodes[n].view.as_ref().unwrap().duplicate().is_some(),
-                "process {n} heard of the other"
+                "process {n} did not learn of the other"
             );
         }
-        world.kill(twin);
+        world.kill(duplicate);
         world.run(60);
         assert_eq!(world.check_agreement(), Ok(()));
-        assert!(!stands_by(&world, 3));
+        assert!(!is_standby(&world, 3));
     }
 }
 
 #[test]
-fn a_process_that_wakes_up_after_its_successor_joined_yields() {
+fn a_process_resumed_after_its_replacement_joined_goes_on_standby() {
     for seed in 0..20 {
         let mut world = fleet(seed, 5);
         world.set_paused(2, true);
@@ -225,10 +232,10 @@
     }
 }
 
-/// Gossip reaches all of some hundreds only nearly always: a member that a refutation passed by asks the suspect itself before it
-/// buries it. Without that question this play tells 25 deaths, and the next 2.
+/// With hundreds of members, gossip occasionally misses some: a member that missed a refutation asks the suspect itself
+/// before it declares it dead. Without that query this run reports 25 false deaths, and the next test 2.
 #[test]
-fn a_refutation_that_passes_a_member_by_buries_nobody() {
+fn a_missed_refutation_causes_no_false_death() {
     let mut world = fleet(1, 300);
     for _ in 0..5 {
         let some: Vec<usize> = (0..30).map(|_| world.random_below(300) as usize).collect();
@@ -243,16 +250,16 @@
 }
 
 #[test]
-fn three_hundred_lose_a_fifth_of_their_frames_and_nobody() {
+fn no_false_deaths_among_300_members_at_20_percent_loss() {
     let mut world = fleet(1, 300);
     world.loss = 0.2;
     world.run(30);
     assert_eq!(false_deaths(&world), 0);
 }
 
-/// Seven in ten of 300 die at once; the rest tell no death of each other.
+/// 210 of 300 members die at once; the others report no deaths among themselves.
 #[test]
-fn seven_in_ten_of_three_hundred_die_at_once() {
+fn no_false_deaths_when_70_percent_of_300_members_die_at_once() {
     let mut world = fleet(5, 300);
     for n in 0..210 {
         world.kill(n);
@@ -261,21 +268,21 @@
     assert_eq!(false_deaths(&world), 0);
 }
 
-/// The same seed gives the same play, to the last event.
+/// The same seed gives the same steps and result.
 #[test]
-fn a_schedule_plays_the_same_each_time() {
+fn a_schedule_is_deterministic() {
     let (one, two) = (schedule::run_schedule(77, 3, 9), schedule::run_schedule(77, 3, 9));
     assert_eq!((one.steps, one.settled), (two.steps, two.settled));
 }
 
-/// All frames that were sent to the first are played to it again, and then to its next start.
+/// All frames delivered to the first member are replayed to it, and then to the same member after a restart.
 #[test]
-fn a_frame_played_again_changes_nothing() {
+fn replayed_frames_change_nothing() {
     let mut world = World::fleet(6, 3);
     world.captured = Some((0, Vec::new()));
     settled(&mut world);
     let mut frames = world.captured.take().map(|(_, frames)| frames).unwrap_or_default();
-    frames.retain(|f| f.from.id.as_str() != "n0"); // its own greetings: it is its own seed
+    frames.retain(|f| f.from.id.as_str() != "n0"); // its own pings: it is its own seed
     assert!(frames.len() > 50);
     let now = world.now;
     let view = world.nodes[0].view.as_mut().unwrap();
@@ -285,18 +292,19 @@
     }
     assert_eq!((view.members(now), out), (before, Vec::new()));
     assert_eq!(view.drop_counters().replayed - counted, frames.len() as u64);
-    // Its next start has counted nothing yet; what was meant for the first start is known by that.
+    // After the restart no sequence numbers are known; frames for the earlier run are recognized by its nonce.
     world.kill(0);
     world.start(0);
     world.run(1);
     let now = world.now;
     let view = world.nodes[0].view.as_mut().unwrap();
-    let meant = frames.iter().filter(|f| f.receiver_nonce != 0 && f.kind != FrameKind::Ping).count() as u64;
+    let earlier_run =
+        frames.iter().filter(|f| f.receiver_nonce != 0 && f.kind != FrameKind::Ping).count() as u64;
     let (counted, mut out) = (view.drop_counters().replayed, Vec::new());
     for frame in frames {
         view.handle_frame(now, frame, &mut out);
     }
-    assert!(view.drop_counters().replayed - counted >= meant && meant > 20);
+    assert!(view.drop_counters().replayed - counted >= earlier_run && earlier_run > 20);
     assert!(
         !out.iter()
             .any(|o| matches!(o, Action::Notify(Event::Down(..) | Event::Suspected(..) | Event::Left(_))))
